--- a/bench/admission-loop.ts
+++ b/bench/admission-loop.ts
@@ -16,7 +16,7 @@
   AdmissionOptions,
   AdmissionRequest,
   AdmissionState,
-  Settled,
+  QueueUpdate,
 } from '../src/core/admission/types';
 import { createRandom } from '../src/adapters/runtime';
 import type { CallerClass } from '../src/core/config/types';
@@ -242,7 +242,7 @@
   settle(loop, release(loop.state, id, context(loop)));
 }
 
-function settle(loop: Loop, settled: Settled): void {
+function settle(loop: Loop, settled: QueueUpdate): void {
   for (const id of settled.admitted) begin(loop, id);
   for (const { id } of settled.refused) end(loop, id);
 }
--- a/bench/groups-loop.ts
+++ b/bench/groups-loop.ts
@@ -12,7 +12,7 @@
 import { groupsOf } from '../src/core/groups/health';
 import { keyOf } from '../src/core/groups/rows';
 import { openSlots } from '../src/core/groups/slots';
-import type { GroupRow, InstanceFacts } from '../src/core/groups/types';
+import type { GroupRow, InstanceInfo } from '../src/core/groups/types';
 import type { DomainId, Epoch, FencingNumber, ModelId, MonoTime, ZoneId } from '../src/core/ids';
 import {
   createFakeEngine,
@@ -88,7 +88,7 @@
   tell(loop, { kind: 'configured', models: plans });
 }
 
-function factsOf(engines: ReadonlyMap<string, FakeEngine>): readonly InstanceFacts[] {
+function factsOf(engines: ReadonlyMap<string, FakeEngine>): readonly InstanceInfo[] {
   return [...engines.values()].map(({ id, address }) => ({
     id,
     address,
--- a/bench/groups-slopes.ts
+++ b/bench/groups-slopes.ts
@@ -5,9 +5,9 @@
 
 import { createDomain, reduceDomain } from '../src/core/groups/domain';
 import type { DomainState, ModelPlan } from '../src/core/groups/domain-types';
-import { hashAll, rankOf } from '../src/core/groups/rank';
+import { hashCandidates, rankOf } from '../src/core/groups/rank';
 import { openSlots } from '../src/core/groups/slots';
-import type { EngineReport, GroupRow, InstanceFacts } from '../src/core/groups/types';
+import type { EngineReport, GroupRow, InstanceInfo } from '../src/core/groups/types';
 import { entryOf, routableNow } from '../src/app/control/watches';
 import { createWatch, reduceWatch } from '../src/core/groups/watch';
 import type { WatchState } from '../src/core/groups/watch';
@@ -119,7 +119,7 @@
   } as unknown as EngineReport;
 }
 
-function factsOf(n: number, domain: string): InstanceFacts {
+function factsOf(n: number, domain: string): InstanceInfo {
   return {
     id: idOf(n),
     address: addressOf(n),
@@ -257,7 +257,7 @@
 function peerRows(): readonly SlopeRow[] {
   return PEER_SIZES.map((size) => {
     const peers = Array.from({ length: size }, (_, n) => ({ id: `d-${n}`, zone: `z${n % 14}` }));
-    const hashed = hashAll(peers);
+    const hashed = hashCandidates(peers);
     const us = timeOf(200, (i) => {
       rankOf(`watch/g${i}`, 'd-5', hashed, 'z3');
     });
--- a/bench/membership-slopes.ts
+++ b/bench/membership-slopes.ts
@@ -10,7 +10,7 @@
 import { createRandom } from '../src/adapters/runtime';
 import { NOTHING_IN_FORCE, reduceInForce } from '../src/core/config/in-force';
 import type { InForceState } from '../src/core/config/in-force';
-import { pushOf } from '../src/core/config/push';
+import { createPush } from '../src/core/config/push';
 import { hashDocument } from '../src/core/config/rows';
 import { brandAs, later } from '../src/core/ids';
 import type { ConfigVersion, DaemonId, EpochTime, MonoTime, ZoneId } from '../src/core/ids';
@@ -186,7 +186,7 @@
 function changeRow(size: number): MembershipSlopeRow {
   const state = inForceOf(documentOf(size, 1));
   const version = brandAs<ConfigVersion>(2);
-  const push = pushOf(state, version, documentOf(size, 2), PUSH_BYTES);
+  const push = createPush(state, version, documentOf(size, 2), PUSH_BYTES);
   const us = usEach(STEPS / 10, () => {
     reduceInForce(state, { kind: 'pushed', ...push }, contextAt(0));
   });
--- a/bench/quarantine-loop.ts
+++ b/bench/quarantine-loop.ts
@@ -6,16 +6,16 @@
 import { createRandom } from '../src/adapters/runtime';
 import type { RoutableGroup } from '../src/core/groups/types';
 import type { AttemptId, EpochTime, Fingerprint, MonoTime } from '../src/core/ids';
-import { openGroups } from '../src/core/retry/isolate';
+import { allowedGroups } from '../src/core/retry/isolate';
 import {
-  clear,
+  clearStrikes,
   createQuarantine,
   onGroupLost,
   onPeerStrike,
   onRunEnd,
   onRunStart,
-  onRunTorn,
-  settleStrikes,
+  onRunInterrupted,
+  decideDueStrikes,
   suspicionOf,
 } from '../src/core/retry/quarantine';
 import type {
@@ -91,9 +91,9 @@
 /** A plain counter: each group lost under a request is a strike, for whatever reason. */
 const COUNTER = {
   ageFactor: Infinity,
-  togetherMs: 0,
-  domainGroups: Infinity,
-  wideGroups: Infinity,
+  correlationWindowMs: 0,
+  domainFaultGroups: Infinity,
+  wideFaultGroups: Infinity,
 };
 
 const OPTIONS: Readonly<Record<QuarantinePolicy, Partial<QuarantineOptions>>> = {
@@ -141,7 +141,7 @@
   const pick = (state: QuarantineState, req: Request): Group | undefined => {
     const up = groups.filter(({ upAt }) => upAt <= now);
     if (policy !== 'quarantine') return anyOf(up);
-    return anyOf(openGroups(state, req.fingerprint, up, ctx())) as Group | undefined;
+    return anyOf(allowedGroups(state, req.fingerprint, up, ctx())) as Group | undefined;
   };
 
   const share = (state: QuarantineState, strikes: readonly Strike[]): void => {
@@ -194,7 +194,7 @@
     group.upAt = now + WORLD.groupBackAfterMs;
     for (const run of running.filter((each) => each.group === group.id)) {
       const state = states[run.daemon];
-      if (state !== undefined) share(state, onRunTorn(state, run.attempt, ctx()));
+      if (state !== undefined) share(state, onRunInterrupted(state, run.attempt, ctx()));
       if (!run.req.isBad) result.innocentsTorn += 1;
       resend(run.req);
     }
@@ -219,7 +219,7 @@
     if (state === undefined) return;
     onRunEnd(state, run.attempt);
     if (!run.suspect) return;
-    for (const each of states) after(WORLD.gossipMs, () => void clear(each, run.req.fingerprint));
+    for (const each of states) after(WORLD.gossipMs, () => void clearStrikes(each, run.req.fingerprint));
   };
 
   const arrive = (isBad: boolean): void => {
@@ -258,7 +258,7 @@
     const crashed = happens(WORLD.ownCrashEveryMs) ? anyOf(groups) : undefined;
     if (crashed !== undefined) lose(crashed);
     if (happens(WORLD.domainDarkEveryMs)) darken();
-    for (const state of states) settleStrikes(state, ctx());
+    for (const state of states) decideDueStrikes(state, ctx());
   }
   return result;
 }
--- a/bench/retry.ts
+++ b/bench/retry.ts
@@ -6,7 +6,7 @@
 
 import { createRandom } from '../src/adapters/runtime';
 import type { MonoTime } from '../src/core/ids';
-import { createBudget, payIn, takeOut } from '../src/core/retry/budget';
+import { createBudget, deposit, tryWithdraw } from '../src/core/retry/budget';
 import type { RetryBudget } from '../src/core/retry/budget';
 import { decideRetry } from '../src/core/retry/decide';
 import type { AttemptFailure } from '../src/core/retry/decide';
@@ -56,7 +56,7 @@
 
   const withdraw = (): boolean => {
     if (!hasBudget) return true;
-    const left = takeOut(budget);
+    const left = tryWithdraw(budget);
     if (left !== undefined) budget = left;
     return left !== undefined;
   };
@@ -111,7 +111,7 @@
     for (owed += perMs; owed >= 1; owed -= 1) {
       counts.accepted += 1;
       if (ms >= DARK.from * 1_000 && ms < DARK.to * 1_000) counts.darkAccepted += 1;
-      budget = payIn(budget);
+      budget = deposit(budget);
       attempt({ acceptedAt: ms, tried: new Set(), attempts: 0 }, ms);
     }
   }
--- a/src/app/admin/documents.ts
+++ b/src/app/admin/documents.ts
@@ -3,7 +3,7 @@
 import { err, errAsync, ok, okAsync } from 'neverthrow';
 import type { Result, ResultAsync } from 'neverthrow';
 
-import { checkDocument, describeFaults } from '../../core/config/check';
+import { checkDocument, formatFieldErrors } from '../../core/config/check';
 import { scopeDocument } from '../../core/config/scope';
 import { brandAs } from '../../core/ids';
 import type { ConfigVersion } from '../../core/ids';
@@ -39,7 +39,7 @@
   const checked = checkDocument(document);
   if (checked.isOk()) return ok(document);
   const fields = checked.error;
-  const error = fail('bad-request', describeFaults(fields), { step: 'check-config' });
+  const error = fail('bad-request', formatFieldErrors(fields), { step: 'check-config' });
   return err({ error, fields });
 }
 
--- a/src/app/admin/exchange.ts
+++ b/src/app/admin/exchange.ts
@@ -6,7 +6,7 @@
 import type { Result } from 'neverthrow';
 
 import { parseDocument } from '../../adapters/config-file';
-import type { FieldFault } from '../../core/config/check';
+import type { FieldError } from '../../core/config/check';
 import { brandAs } from '../../core/ids';
 import type { ConfigVersion } from '../../core/ids';
 import type { Json } from '../../core/json';
@@ -24,7 +24,7 @@
 /** Why a request was refused; `fields` names each wrong field of a document. */
 export interface Refusal {
   readonly error: StepError;
-  readonly fields?: readonly FieldFault[];
+  readonly fields?: readonly FieldError[];
 }
 
 export type Answered = ResultAsync<Answer, Refusal>;
--- a/src/app/config/config.ts
+++ b/src/app/config/config.ts
@@ -3,7 +3,7 @@
 import { ResultAsync, err, errAsync, ok, okAsync } from 'neverthrow';
 import type { Result } from 'neverthrow';
 
-import { pushOf } from '../../core/config/push';
+import { createPush } from '../../core/config/push';
 import {
   HEAD_KEY,
   VERSION_PREFIX,
@@ -85,7 +85,7 @@
     const { version, document } = accepted;
     // A repeated change or one that changed nothing: peers know it already.
     if (version <= sync.state().mark.version) return;
-    const push = pushOf(sync.state(), version, document, settings.pushBytes);
+    const push = createPush(sync.state(), version, document, settings.pushBytes);
     sync.dispatch({ kind: 'document', mark: push.mark, document, from: 'self' });
     const expiresAt = later(clock.epoch(), settings.pushTtlMs);
     gossip.publish(PUSH_TOPIC, `v/${version}`, encodePush(push), expiresAt);
--- a/src/app/config/messages.ts
+++ b/src/app/config/messages.ts
@@ -2,7 +2,7 @@
 
 import * as z from 'zod';
 
-import type { VersionMark } from '../../core/config/in-force';
+import type { VersionRef } from '../../core/config/in-force';
 import type { Push } from '../../core/config/push';
 import type { ConfigVersion } from '../../core/ids';
 import { brandAs } from '../../core/ids';
@@ -34,7 +34,7 @@
 const documentSchema = z.object({ mark, document: json });
 
 export interface DocumentMessage {
-  readonly mark: VersionMark;
+  readonly mark: VersionRef;
   readonly document: Json;
 }
 
--- a/src/app/config/submit.ts
+++ b/src/app/config/submit.ts
@@ -16,7 +16,7 @@
   SubmitAnswer,
   SubmitEffect,
   SubmitEvent,
-  TableView,
+  TableSnapshot,
 } from '../../core/config/submit';
 import { later } from '../../core/ids';
 import type { Table } from '../../ports/platform';
@@ -64,7 +64,7 @@
   head: StoredRow,
   recent: StoredRow | undefined,
 ): Promise<SubmitEvent> {
-  const view: TableView = { head, recent };
+  const view: TableSnapshot = { head, recent };
   const parsed = parseHead(head);
   if (parsed.isErr()) return { kind: 'read', view };
   const rows = await table.read([versionKey(parsed.value.version)]);
--- a/src/app/config/sync.ts
+++ b/src/app/config/sync.ts
@@ -9,7 +9,7 @@
   InForceEffect,
   InForceEvent,
   InForceState,
-  VersionMark,
+  VersionRef,
 } from '../../core/config/in-force';
 import { HEAD_KEY, parseHead, parseVersionRow, versionKey } from '../../core/config/rows';
 import type { Config } from '../../core/config/types';
@@ -17,7 +17,7 @@
 import type { Table } from '../../ports/platform';
 import type { Clock, Logger, Random } from '../../ports/runtime';
 import type { Metrics } from '../../ports/telemetry';
-import type { Direct, DirectMessage, Gossip, PeerInfo } from '../parts';
+import type { DirectMessaging, DirectMessage, Gossip, PeerInfo } from '../parts';
 import {
   DOCUMENT_TOPIC,
   PUSH_TOPIC,
@@ -34,7 +34,7 @@
   readonly table: Table;
   readonly gossip: Gossip;
   /** Lets daemons fetch from each other while the table is down. */
-  readonly direct?: Direct;
+  readonly direct?: DirectMessaging;
   readonly peers?: () => readonly PeerInfo[];
   readonly clock: Clock;
   readonly random: Random;
@@ -87,7 +87,7 @@
     }
   }
 
-  function fetchSoon(mark: VersionMark): void {
+  function fetchSoon(mark: VersionRef): void {
     if (fetching.has(mark.version)) return;
     fetching.add(mark.version);
     const spreadMs = settings.fetchSpreadMsPerDaemon * (deps.peers?.().length ?? 0);
@@ -99,7 +99,7 @@
       .subscribe({ complete: () => fetching.delete(mark.version) });
   }
 
-  async function fetchFromTable(mark: VersionMark): Promise<void> {
+  async function fetchFromTable(mark: VersionRef): Promise<void> {
     if (state.mark.version > mark.version) return;
     const rows = await table.read([versionKey(mark.version)]);
     const row = rows.isOk() ? rows.value[0] : undefined;
@@ -144,7 +144,7 @@
     else if (before.version > 0) alarmAhead(before.version, 0);
   }
 
-  function seeHead(before: VersionMark, head: ReturnType<typeof parseHead>): void {
+  function seeHead(before: VersionRef, head: ReturnType<typeof parseHead>): void {
     if (head.isErr()) {
       const { key, message } = head.error;
       dispatch({ kind: 'unreadable', message: `${key}: ${message}` });
--- a/src/app/control/briefing.ts
+++ b/src/app/control/briefing.ts
@@ -2,7 +2,7 @@
 
 import type { ModelPlan } from '../../core/groups/domain-types';
 import { openSlots } from '../../core/groups/slots';
-import type { InstanceFacts } from '../../core/groups/types';
+import type { InstanceInfo } from '../../core/groups/types';
 import type { DomainId, ModelId } from '../../core/ids';
 import type { Directory } from './directory';
 import type { Holders } from './holders';
@@ -25,7 +25,7 @@
 export function createBriefing(from: BriefingSources): Briefing {
   const { holders, directory, watches, news } = from;
 
-  const tell = (domain: DomainId, instances: readonly InstanceFacts[]): void => {
+  const tell = (domain: DomainId, instances: readonly InstanceInfo[]): void => {
     const models = from.plans();
     const listed = directory.inDomain(domain);
     const groups = watches.all().map(({ row }) => row);
--- a/src/app/control/directory.ts
+++ b/src/app/control/directory.ts
@@ -1,6 +1,6 @@
 /** The platform's instance list as last read, and who is said to be leaving. */
 
-import type { InstanceFacts } from '../../core/groups/types';
+import type { InstanceInfo } from '../../core/groups/types';
 import type { DomainId, InstanceId, ZoneId } from '../../core/ids';
 import type { InstanceEntry } from '../../ports/platform';
 import { logFailure, settleCall } from './context';
@@ -10,8 +10,8 @@
   /** Reads the list anew; a failed read leaves what is known. */
   readonly poll: () => void;
   /** All engine instances. */
-  instances(): readonly InstanceFacts[];
-  inDomain(domain: DomainId): readonly InstanceFacts[];
+  instances(): readonly InstanceInfo[];
+  inDomain(domain: DomainId): readonly InstanceInfo[];
   domains(): ReadonlyMap<DomainId, ZoneId>;
   /** An operator's or a peer's word. */
   markLeaving(instance: InstanceId): void;
@@ -22,8 +22,8 @@
 }
 
 export function createDirectory(ctx: ControlContext, changed: () => void): Directory {
-  let byId = new Map<InstanceId, InstanceFacts>();
-  let byDomain = new Map<DomainId, readonly InstanceFacts[]>();
+  let byId = new Map<InstanceId, InstanceInfo>();
+  let byDomain = new Map<DomainId, readonly InstanceInfo[]>();
   let reading = false;
   const marked = new Set<InstanceId>();
 
@@ -70,15 +70,15 @@
   };
 }
 
-function factsOf(entry: InstanceEntry): InstanceFacts | undefined {
+function factsOf(entry: InstanceEntry): InstanceInfo | undefined {
   const { id, address, domain, zone, accelerators, checksFencing } = entry;
   if (entry.role !== 'engine' || domain === undefined) return undefined;
   const leaving = entry.state === 'leaving';
   return { id, address, domain, zone, accelerators, leaving, checksFencing };
 }
 
-function groupByDomain(facts: readonly InstanceFacts[]): Map<DomainId, InstanceFacts[]> {
-  const byDomain = new Map<DomainId, InstanceFacts[]>();
+function groupByDomain(facts: readonly InstanceInfo[]): Map<DomainId, InstanceInfo[]> {
+  const byDomain = new Map<DomainId, InstanceInfo[]>();
   for (const one of facts) {
     const list = byDomain.get(one.domain);
     if (list) list.push(one);
@@ -88,7 +88,7 @@
 }
 
 function zonesOf(
-  byDomain: ReadonlyMap<DomainId, readonly InstanceFacts[]>,
+  byDomain: ReadonlyMap<DomainId, readonly InstanceInfo[]>,
 ): ReadonlyMap<DomainId, ZoneId> {
   const zones = new Map<DomainId, ZoneId>();
   for (const [domain, facts] of byDomain) {
--- a/src/app/control/leases.ts
+++ b/src/app/control/leases.ts
@@ -1,6 +1,6 @@
 /** Runs the lease reducers of all domains against the table service. */
 
-import { hashAll, rankOf } from '../../core/groups/rank';
+import { hashCandidates, rankOf } from '../../core/groups/rank';
 import type { DaemonId, DomainId, ZoneId } from '../../core/ids';
 import { createLease, isHolder, reduceLease } from '../../core/lease/lease';
 import type { HeldLease, LeaseEffect, LeaseEvent, LeaseState } from '../../core/lease/types';
@@ -88,7 +88,7 @@
     const signature = `${states.size} ${zones.size} ${signatureOf(all)}`;
     if (signature === rankedFor) return;
     rankedFor = signature;
-    const peers = hashAll(all.filter((peer) => peer.state !== 'leaving'));
+    const peers = hashCandidates(all.filter((peer) => peer.state !== 'leaving'));
     for (const domain of states.keys()) {
       const place = rankOf(`lease/${domain}`, ctx.self, peers, zones.get(domain));
       dispatch(domain, { kind: 'ranked', rank: place });
--- a/src/app/control/measures.ts
+++ b/src/app/control/measures.ts
@@ -1,7 +1,7 @@
 /** Keeps the running totals of downtime and stranded accelerators, and hands them to the metrics. */
 
-import { NO_TOTALS, addShortfall, shortfallOf } from '../../core/groups/totals';
-import type { Shortfall, Totals } from '../../core/groups/totals';
+import { ZERO_TOTALS, addShortfall, shortfallOf } from '../../core/groups/totals';
+import type { Shortfall, ShortfallTotals } from '../../core/groups/totals';
 import type { DomainState } from '../../core/groups/domain-types';
 import type { ModelId, MonoTime } from '../../core/ids';
 import type { ControlContext } from './context';
@@ -9,7 +9,7 @@
 export interface Measures {
   /** Adds what the held domains lacked since the last call. */
   add(held: readonly DomainState[]): void;
-  totals(): Totals;
+  totals(): ShortfallTotals;
 }
 
 const DOWNTIME = 'nutmegstack_group_downtime_seconds_total';
@@ -17,7 +17,7 @@
 const MS_PER_SECOND = 1_000;
 
 export function createMeasures(ctx: ControlContext): Measures {
-  let totals = NO_TOTALS;
+  let totals = ZERO_TOTALS;
   let last: MonoTime | undefined;
   return {
     add: (held) => {
--- a/src/app/control/news.ts
+++ b/src/app/control/news.ts
@@ -3,8 +3,8 @@
 import { Subscription } from 'rxjs';
 
 import type { DomainState } from '../../core/groups/domain-types';
-import { loadsHere } from '../../core/groups/orders';
-import { ownUntil } from '../../core/groups/watch';
+import { countLoads } from '../../core/groups/orders';
+import { ownRoutableUntil } from '../../core/groups/watch';
 import type { WatchState } from '../../core/groups/watch';
 import { later } from '../../core/ids';
 import type { DomainId, Epoch, GroupId, InstanceId, MonoTime } from '../../core/ids';
@@ -139,7 +139,7 @@
       }
     },
     loads: (state) => {
-      const loads = loadsHere(state, clock.now());
+      const loads = countLoads(state, clock.now());
       if (loads > 0) publish(TOPICS.loads, state.domain, { loads }, LOADS_MS);
     },
     loadsElsewhere: (domain) =>
@@ -162,7 +162,7 @@
 ): ReadonlyMap<DomainId, readonly WholeGroup[]> {
   const byDomain = new Map<DomainId, WholeGroup[]>();
   for (const state of watched) {
-    const until = ownUntil(state);
+    const until = ownRoutableUntil(state);
     if (until === undefined || until <= now || state.leaving) continue;
     const list = byDomain.get(state.row.domain) ?? [];
     list.push({ id: state.id, epoch: state.row.epoch, until });
--- a/src/app/control/roles.ts
+++ b/src/app/control/roles.ts
@@ -1,6 +1,6 @@
 /** Which instances this daemon probes: all of the domains it holds, and the groups it observes. */
 
-import { hashAll, rankOf } from '../../core/groups/rank';
+import { hashCandidates, rankOf } from '../../core/groups/rank';
 import type { Candidates } from '../../core/groups/rank';
 import type { DaemonId, GroupId, InstanceId } from '../../core/ids';
 import type { PeerInfo } from '../parts';
@@ -53,7 +53,7 @@
 
   const observesNow = (group: GroupId): boolean => {
     const peers = ctx.membership.peers();
-    return observes(group, hashAll(peers), signatureOf(peers));
+    return observes(group, hashCandidates(peers), signatureOf(peers));
   };
 
   return {
@@ -61,7 +61,7 @@
       const targets = new Map<InstanceId, string>();
       const peers = ctx.membership.peers();
       const signature = signatureOf(peers);
-      const hashed = hashAll(peers);
+      const hashed = hashCandidates(peers);
       for (const domain of leases.domains()) {
         if (leases.holderOf(domain) !== ctx.self) continue;
         for (const { id, address } of directory.inDomain(domain)) targets.set(id, address);
@@ -81,6 +81,6 @@
       const isOwn = domain !== undefined && leases.holderOf(domain) === ctx.self;
       return isOwn || observesNow(group);
     },
-    isLister: () => rankOf('instance-list', ctx.self, hashAll(ctx.membership.peers())) < LISTERS,
+    isLister: () => rankOf('instance-list', ctx.self, hashCandidates(ctx.membership.peers())) < LISTERS,
   };
 }
--- a/src/app/control/status.ts
+++ b/src/app/control/status.ts
@@ -1,7 +1,7 @@
 /** What `status` shows of the control plane. */
 
 import { routableUntil } from '../../core/groups/watch';
-import type { Totals } from '../../core/groups/totals';
+import type { ShortfallTotals } from '../../core/groups/totals';
 import type { DomainState } from '../../core/groups/domain-types';
 import type { Json } from '../../ports/platform';
 import type { ControlContext } from './context';
@@ -15,7 +15,7 @@
   readonly watches: Watches;
   readonly directory: Directory;
   readonly held: readonly DomainState[];
-  readonly totals: Totals;
+  readonly totals: ShortfallTotals;
   readonly pace: Pace;
   readonly probed: number;
 }
--- a/src/app/control/view.ts
+++ b/src/app/control/view.ts
@@ -1,7 +1,7 @@
 /** Where model requests may go, as the request plane asks and is told. */
 
-import { NO_EXPECTATIONS, expectedAt, noteForming, noteReady } from '../../core/groups/expect';
-import { isUnsettled } from '../../core/groups/watch';
+import { NO_FORMING_ESTIMATES, estimateReadyAt, trackForming, recordFormingTime } from '../../core/groups/expect';
+import { isAwaitingProbe } from '../../core/groups/watch';
 import { later } from '../../core/ids';
 import type { GroupView } from '../parts';
 import type { ControlContext } from './context';
@@ -23,7 +23,7 @@
 export function createView(ctx: ControlContext, watches: Watches, demand: Demand): View {
   const { clock } = ctx;
   const losses = createLosses(ctx, watches);
-  let expectations = NO_EXPECTATIONS;
+  let expectations = NO_FORMING_ESTIMATES;
   return {
     routable: (model) =>
       routableNow(watches.ofModel(model), clock.now(), {
@@ -33,9 +33,9 @@
     expectedAt: (model) => {
       const now = clock.now();
       for (const { state } of watches.ofModel(model)) {
-        if (isUnsettled(state, now)) return later(clock.epoch(), PROBE_MS);
+        if (isAwaitingProbe(state, now)) return later(clock.epoch(), PROBE_MS);
       }
-      const at = expectedAt(expectations, model, now);
+      const at = estimateReadyAt(expectations, model, now);
       return at && later(clock.epoch(), at - now);
     },
     report: ({ group, epoch, kind }) => {
@@ -49,12 +49,12 @@
     note: (change) => {
       losses.note(change);
       if (change.kind !== 'ready') return;
-      expectations = noteReady(expectations, change.group, clock.now());
+      expectations = recordFormingTime(expectations, change.group, clock.now());
       demand.settled(change.group);
     },
     refresh: () => {
       const rows = watches.all().map(({ row }) => row);
-      expectations = noteForming(expectations, rows, clock.now());
+      expectations = trackForming(expectations, rows, clock.now());
       demand.keep(new Set(rows.map(({ id }) => id)));
     },
   };
--- a/src/app/control/watches.ts
+++ b/src/app/control/watches.ts
@@ -5,7 +5,7 @@
 
 import type { EngineReport, GroupRow, RoutableGroup, Versioned } from '../../core/groups/types';
 import { createWatch, reduceWatch, routableUntil } from '../../core/groups/watch';
-import type { Statement, Told, WatchEvent, WatchState } from '../../core/groups/watch';
+import type { Statement, StatementSource, WatchEvent, WatchState } from '../../core/groups/watch';
 import { later } from '../../core/ids';
 import type { DomainId, Epoch, GroupId, InstanceId, ModelId, MonoTime } from '../../core/ids';
 import { stepAt } from './context';
@@ -29,7 +29,7 @@
   reported(report: EngineReport, sentAt: MonoTime, freshUntil: MonoTime): void;
   silent(instance: InstanceId, sentAt: MonoTime): void;
   stated(group: GroupId, statement: Statement): void;
-  warned(group: GroupId, epoch: Epoch, by: Told): void;
+  warned(group: GroupId, epoch: Epoch, by: StatementSource): void;
   evidence(group: GroupId, epoch: Epoch): void;
   tick(isLeaving: (instance: InstanceId) => boolean): void;
   /** Takes over the sizes of batches after a change of the configuration. */
--- a/src/app/daemon.ts
+++ b/src/app/daemon.ts
@@ -20,12 +20,12 @@
 import { createControl } from './control/control';
 import { createEntry } from './entry';
 import { listen } from './listen';
-import type { Listening } from './listen';
+import type { HttpListener } from './listen';
 import { createMembership } from './membership/membership';
 import type { ConfigPart, Parts } from './parts';
 import { createRequests } from './requests/requests';
 import type { DaemonSettings, RunningDaemon } from './settings';
-import { createStop } from './stop';
+import { createShutdown } from './stop';
 
 function ownEntry(settings: DaemonSettings, state: InstanceEntry['state']): InstanceEntry {
   return {
@@ -98,7 +98,7 @@
     objects: createObjectStore(platform),
     gossip,
     tracer,
-    peerCount: () => membership.peers().length,
+    daemonCount: () => membership.peers().length,
     settings: {
       maxBodyBytes: settings.maxBodyBytes,
       tableCommitsPerSecond: settings.claimCommitsPerSecond,
@@ -107,13 +107,13 @@
   });
   const parts: Parts = { config, membership, control, requests };
 
-  const listening: Listening[] = [];
-  const stop = createStop({
+  const listening: HttpListener[] = [];
+  const stop = createShutdown({
     settings,
     parts,
-    listening,
+    listeners: listening,
     logger,
-    leaveList: () => instances.leave(brandAs<InstanceId>(self)),
+    deregister: () => instances.leave(brandAs<InstanceId>(self)),
     flushTraces: () => tracer.close(),
   });
   await membership.start();
--- a/src/app/gateway/config-view.ts
+++ b/src/app/gateway/config-view.ts
@@ -24,7 +24,7 @@
   /** Time since the store last said, here or to the leader, that no version is newer, milliseconds. */
   ageMs(): number;
   /** Puts a version in force if it is newer than the present one; it never goes back. */
-  offer(config: GatewayConfig, source: string): boolean;
+  adoptIfNewer(config: GatewayConfig, source: string): boolean;
 }
 
 /**
@@ -88,13 +88,13 @@
     feed,
     waitMs: () =>
       Math.min(LONGEST_WAIT_MS, Math.max(LEAST_WAIT_MS, WAIT_PER_DAEMON_MS * daemons())),
-    trustUntil,
-    restUntil: (at) => later(at, ctx.tunables.value.configMs * REST_SHARE),
-    take: (changes) => {
+    freshUntil: trustUntil,
+    nextPollAt: (at) => later(at, ctx.tunables.value.configMs * REST_SHARE),
+    apply: (changes) => {
       for (const { value } of changes) if (value) offer(value, 'store');
     },
   });
   const ageMs = (): number => Math.min(watch.ageMs(), vouchedAgeMs(ctx.clock.now()));
 
-  return { table, watch, version, since: () => since, ageMs, offer };
+  return { table, watch, version, since: () => since, ageMs, adoptIfNewer: offer };
 }
--- a/src/app/gateway/exchange.ts
+++ b/src/app/gateway/exchange.ts
@@ -34,7 +34,7 @@
 }
 
 /** What may have happened to a request that has no answer. */
-export type Exposure = 'not-run' | 'unknown';
+export type Execution = 'not-run' | 'unknown';
 
 /** Sent this long before the caller's deadline, an answer still reaches it, milliseconds. */
 const ANSWER_MARGIN_MS = 25;
@@ -74,7 +74,7 @@
 }
 
 /** What is noted of a request at its end. */
-export interface Ending extends Partial<StreamTimes> {
+export interface RequestEnd extends Partial<StreamTimes> {
   readonly outcome: 'served' | 'refused' | 'failed' | 'torn' | 'caller-gone';
   readonly status: number;
   readonly attempts: number;
@@ -82,7 +82,7 @@
   readonly server?: InstanceId;
 }
 
-export function logEnding(ctx: GatewayContext, exchange: Exchange, ending: Ending): void {
+export function logRequestEnd(ctx: GatewayContext, exchange: Exchange, ending: RequestEnd): void {
   const ms = Math.round(ctx.clock.now() - exchange.arrivedAt);
   const { outcome } = ending;
   ctx.metrics.count('nutmegstack_calls_total', { route: exchange.route.name, outcome });
@@ -125,44 +125,44 @@
 }
 
 /** The server asked for rest after the request was chosen for it. */
-export function serverRests(): StepError {
+export function backoffError(): StepError {
   return fail('cancelled', 'the server rests', { step: 'send' });
 }
 
 /** When a refused caller should come back, milliseconds; spread so that callers do not come together. */
 export interface RetryAfter {
-  readonly leastMs: number;
+  readonly minMs: number;
   readonly spreadMs: number;
 }
 
 /** All places are taken: one becomes free every few milliseconds. */
-const WHEN_FULL: RetryAfter = { leastMs: 60, spreadMs: 140 };
+const WHEN_FULL: RetryAfter = { minMs: 60, spreadMs: 140 };
 /** No group serves the model: forming one takes between half a second from warm servers and a load of weights. */
-export const WHEN_UNSERVED: RetryAfter = { leastMs: 1_000, spreadMs: 600 };
+export const RETRY_AFTER_UNSERVED: RetryAfter = { minMs: 1_000, spreadMs: 600 };
 
 /** All that could serve it take one more only so much later: callers come back then, and not together. */
-export function whenTaken(ms: number): RetryAfter {
+export function retryAfterDelay(ms: number): RetryAfter {
   return {
-    leastMs: Math.max(WHEN_FULL.leastMs, ms),
+    minMs: Math.max(WHEN_FULL.minMs, ms),
     spreadMs: Math.max(WHEN_FULL.spreadMs, ms / 2),
   };
 }
 
-export interface OwnAnswer {
+export interface LocalAnswer {
   readonly status: number;
   readonly message: string;
   readonly retryAfter?: RetryAfter;
 }
 
 /** Answers in the daemon's own name. 503 promises that the request has not run and never will. */
-export function answerOwn(
+export function answerLocally(
   ctx: GatewayContext,
   res: ServerResponse,
-  { status, message, retryAfter = WHEN_FULL }: OwnAnswer,
+  { status, message, retryAfter = WHEN_FULL }: LocalAnswer,
 ): void {
   if (res.headersSent || res.destroyed) return;
   const body = Buffer.from(JSON.stringify({ error: { message } }));
-  const retryMs = retryAfter.leastMs + ctx.random.next() * retryAfter.spreadMs;
+  const retryMs = retryAfter.minMs + ctx.random.next() * retryAfter.spreadMs;
   res.writeHead(status, {
     'Content-Type': 'application/json',
     'Content-Length': body.length,
@@ -172,8 +172,8 @@
 }
 
 /** What became of a request that has no answer. */
-export interface GivenUp {
-  readonly exposure: Exposure;
+export interface UnansweredRequest {
+  readonly exposure: Execution;
   readonly reason: string;
   readonly attempts: number;
   readonly retryAfter?: RetryAfter;
@@ -181,15 +181,15 @@
 }
 
 /** Ends a request that has no answer: refused where it surely has not run, failed otherwise. */
-export function giveUp(
+export function endUnanswered(
   ctx: GatewayContext,
   exchange: Exchange,
-  { exposure, reason, attempts, retryAfter, times }: GivenUp,
+  { exposure, reason, attempts, retryAfter, times }: UnansweredRequest,
 ): void {
   const isLate = ctx.clock.now() >= exchange.answerBy;
   const failed = isLate ? 504 : 502;
   const status = exposure === 'not-run' ? 503 : failed;
-  answerOwn(ctx, exchange.res, { status, message: reason, ...(retryAfter && { retryAfter }) });
+  answerLocally(ctx, exchange.res, { status, message: reason, ...(retryAfter && { retryAfter }) });
   const outcome = exposure === 'not-run' ? 'refused' : 'failed';
-  logEnding(ctx, exchange, { outcome, status, attempts, reason, ...times });
+  logRequestEnd(ctx, exchange, { outcome, status, attempts, reason, ...times });
 }
--- a/src/app/gateway/fleet.ts
+++ b/src/app/gateway/fleet.ts
@@ -16,7 +16,7 @@
 import type { GatewayContext } from './context';
 import { parseGatewayMessage } from './messages';
 import type { GatewayMessage, LeaderMessage, PeerState, PlainMessage } from './messages';
-import type { FromPeer, Leader, PeerView } from './peer-view';
+import type { ReceivedMessage, Leader, PeerView } from './peer-view';
 import { createRelaying } from './relaying';
 import { watchFeed } from './watch';
 
@@ -33,7 +33,7 @@
   candidates(): Strengths;
   /** Entered daemons that give no sign, as those say that hear most of them. */
   silent(): readonly DaemonId[];
-  readonly received: Observable<FromPeer>;
+  readonly received: Observable<ReceivedMessage>;
   /** Addresses whose links broke or could not be made. */
   readonly unreachable: Observable<string>;
   send(address: string, message: PlainMessage): void;
@@ -41,7 +41,7 @@
   sendTo(daemons: readonly DaemonId[], message: PlainMessage): void;
   broadcast(message: PlainMessage): void;
   /** Tells all daemons what this one, their leader, has to say; in a large fleet through relays. */
-  spread(message: LeaderMessage): void;
+  broadcastAsLeader(message: LeaderMessage): void;
   /** Tells the leader what this daemon has to say; in a large fleet through the relay that it was heard by. */
   answer(leader: Leader, message: PeerState): void;
   /** Sends on what peers have for the leader. */
@@ -94,7 +94,7 @@
   /** Entries of the store. */
   const known = new Map<DaemonId, DaemonEntry>();
   const heard = new Map<DaemonId, PeerView>();
-  const received = new Subject<FromPeer>();
+  const received = new Subject<ReceivedMessage>();
   /** By address: when a peer was last heard of, and what it is being told. */
   const heardAt = new Map<string, MonoTime>();
   const conversations = new Map<string, Conversation>();
@@ -102,9 +102,9 @@
   const watch = watchFeed(ctx, {
     feed: entries,
     waitMs: () => ENTRIES_WAIT_MS,
-    trustUntil: (now) => later(now, ENTRIES_WAIT_MS),
-    restUntil: (since) => later(since, leader() ? LED_ENTRIES_REST_MS : ENTRIES_REST_MS),
-    take: (changes: readonly Change<DaemonEntry>[], kind) => {
+    freshUntil: (now) => later(now, ENTRIES_WAIT_MS),
+    nextPollAt: (since) => later(since, leader() ? LED_ENTRIES_REST_MS : ENTRIES_REST_MS),
+    apply: (changes: readonly Change<DaemonEntry>[], kind) => {
       // An older copy may lack daemons that live; they enter themselves again.
       if (kind === 'whole') known.clear();
       for (const { key, value } of changes) {
@@ -116,7 +116,7 @@
   });
 
   let lastLeader: Leader | undefined;
-  const noteLeader = ({ from: id, address, via, message }: FromPeer): void => {
+  const noteLeader = ({ from: id, address, via, message }: ReceivedMessage): void => {
     const at = clock.now();
     if (message.kind === 'loads') {
       const { daemons, silent } = message;
@@ -126,7 +126,7 @@
     }
   };
 
-  const take = (arrived: FromPeer): void => {
+  const take = (arrived: ReceivedMessage): void => {
     const { from, address, message } = arrived;
     if (message.kind === 'state') {
       heard.set(from, { ...message, id: from, address, at: clock.now() });
@@ -138,7 +138,7 @@
   peers.received.subscribe(({ from, address, message }) => {
     heardAt.set(address, clock.now());
     if (message.kind === 'relayed') {
-      take(relaying.passOn(message, address));
+      take(relaying.forward(message, address));
       return;
     }
     if (message.kind === 'states') {
@@ -235,7 +235,7 @@
   };
 
   const relaying = createRelaying(ctx, {
-    tell,
+    sendExpectingReply: tell,
     sendToAll: (addresses, message) => {
       peers.sendToAll(addresses, message);
     },
@@ -267,13 +267,13 @@
       );
     },
     broadcast,
-    spread: (message) => {
+    broadcastAsLeader: (message) => {
       if (!isLarge()) {
         broadcast(message);
         return;
       }
       forgetSilent();
-      relaying.spread(message, live(), addresses());
+      relaying.broadcast(message, live(), addresses());
     },
     answer: ({ via }, message) => {
       peers.send(via, message);
--- a/src/app/gateway/gateway.ts
+++ b/src/app/gateway/gateway.ts
@@ -5,25 +5,25 @@
 import { later } from '../../core/ids';
 import { FIRST_ERA } from '../../core/store-era';
 import { pause } from '../../utils/pause';
-import { createAllowances } from './allowances';
+import { createThrottle } from './allowances';
 import { createArrivals } from './arrivals';
-import { createBoard } from './board';
+import { createGroupRegistry } from './board';
 import { createConfigView } from './config-view';
 import type { GatewayContext } from './context';
 import { createFleet } from './fleet';
-import { createFormer } from './former';
-import { createFront } from './front';
+import { createGroupPlanner } from './former';
+import { createHttpServer } from './front';
 import { createGossip } from './gossip';
 import { createLeadership } from './lease';
-import { createLeaving } from './leaving';
-import { createLimits } from './limits';
+import { createLeavingServers } from './leaving';
+import { createRateLimits } from './limits';
 import { createPlainCalls } from './plain-call';
 import { listenReady } from './ready';
 import { createRetries } from './retries';
-import { createRoster } from './roster';
-import { createStatements } from './statements';
+import { createServerRegistry } from './roster';
+import { createServerNotices } from './statements';
 import { createStreamCalls } from './stream-call';
-import { createWaitingRoom } from './waiting';
+import { createWaitQueue } from './waiting';
 
 export interface GatewayOptions {
   readonly ctx: GatewayContext;
@@ -68,48 +68,48 @@
     leader: () => fleet.leader(),
   });
   const leadership = createLeadership(ctx, options.table, fleet);
-  const roster = createRoster(ctx, {
+  const roster = createServerRegistry(ctx, {
     feed: feeds.servers,
-    isLeading: () => leadership.held() !== undefined,
+    isLeading: () => leadership.heldFencing() !== undefined,
     leader: () => fleet.leader(),
   });
   const routes = () => config.table.value;
-  const limits = createLimits(ctx, {
+  const limits = createRateLimits(ctx, {
     daemons: () => {
       const silent = new Set(fleet.silent());
       return [...fleet.candidates().keys()].filter((id) => !silent.has(id));
     },
-    isGone: (server) => !roster.servers.has(server),
-    tell: (others, told) => {
+    isRemoved: (server) => !roster.servers.has(server),
+    publish: (others, told) => {
       fleet.sendTo(others, { kind: 'limits', limits: told });
     },
   });
-  const leaving = createLeaving(ctx, roster);
-  const allowances = createAllowances(ctx, limits);
-  const board = createBoard(ctx, roster, config.table, allowances);
-  const waiting = createWaitingRoom(ctx, board);
+  const leaving = createLeavingServers(ctx, roster);
+  const allowances = createThrottle(ctx, limits);
+  const board = createGroupRegistry(ctx, roster, config.table, allowances);
+  const waiting = createWaitQueue(ctx, board);
   const arrivals = createArrivals(ctx);
-  const former = createFormer(ctx, {
+  const former = createGroupPlanner(ctx, {
     roster,
     routes,
     leadership,
     servers: options.servers,
     isBusy: (group) => board.isBusy(group),
-    demand: () => board.demand(),
+    offeredLoad: () => board.offeredLoad(),
   });
   const upstream = createUpstream({ connectTimeoutMs: CONNECT_TIMEOUT_MS, idleMs: IDLE_MS });
   // Entries count as well: a daemon that has just started hears of few peers, and would take a larger part.
   const sharers = (): number => Math.max(fleet.size(), fleet.candidates().size);
   const retries = createRetries(ctx, sharers);
-  const statements = createStatements(ctx, { dialect, limits, allowances, leaving });
+  const statements = createServerNotices(ctx, { dialect, limits, throttle: allowances, leaving });
   options.servers.heads.subscribe((head) => {
-    statements.take(head);
+    statements.apply(head);
   });
   const plain = createPlainCalls({
-    ...{ ctx, roster, upstream, dialect, retries, statements, allowances },
+    ...{ ctx, roster, upstream, dialect, retries, notices: statements, throttle: allowances },
   });
   const streams = createStreamCalls({
-    ...{ ctx, board, upstream, dialect, retries, statements, allowances },
+    ...{ ctx, board, upstream, dialect, retries, notices: statements, throttle: allowances },
     ...{ waiting, arrivals, daemons: sharers },
   });
   const gossip = createGossip({
@@ -118,7 +118,7 @@
     roster,
     board,
     fleet,
-    former,
+    planner: former,
     leadership,
     waiting,
     arrivals,
@@ -126,7 +126,7 @@
     leaving,
     isStopping: () => isStopping,
   });
-  const front = createFront({
+  const front = createHttpServer({
     ctx,
     config,
     dialect,
@@ -180,7 +180,7 @@
     if (left > 0)
       logger.warn('requests cut at the end of the stop', { step: 'stop', inFlight: left });
     clearInterval(ticker);
-    front.cut();
+    front.closeConnections();
     upstream.close();
     ready.close();
     await fleet.stop();
--- a/src/app/gateway/gossip.ts
+++ b/src/app/gateway/gossip.ts
@@ -3,36 +3,36 @@
 import { joinNews } from '../../core/gateway/news';
 import type { ConfigVersion, MonoTime } from '../../core/ids';
 import { brandAs, later } from '../../core/ids';
-import { isLater, ORIGIN } from '../../core/store-era';
+import { isLater, ORIGIN_POSITION } from '../../core/store-era';
 import type { Arrivals } from './arrivals';
-import type { Board } from './board';
+import type { GroupRegistry } from './board';
 import type { ConfigView } from './config-view';
 import type { GatewayContext } from './context';
-import { createFindings } from './findings';
+import { createStallReporting } from './findings';
 import type { Fleet } from './fleet';
-import type { Former } from './former';
+import type { GroupPlanner } from './former';
 import type { Leadership } from './lease';
-import type { Leaving } from './leaving';
-import type { Limits } from './limits';
+import type { LeavingServers } from './leaving';
+import type { RateLimits } from './limits';
 import { sumLoads, withoutOwn } from './loads';
-import type { PeerState, PlainMessage, Progress } from './messages';
-import type { FromPeer, PeerView } from './peer-view';
-import type { Roster, RosterNews } from './roster';
-import type { WaitingRoom } from './waiting';
+import type { PeerState, PlainMessage, PeerProgress } from './messages';
+import type { ReceivedMessage, PeerView } from './peer-view';
+import type { ServerRegistry, ServerUpdates } from './roster';
+import type { WaitQueue } from './waiting';
 import { createWorkLog } from './work-log';
 
 export interface GossipDeps {
   readonly ctx: GatewayContext;
   readonly config: ConfigView;
-  readonly roster: Roster;
-  readonly board: Board;
+  readonly roster: ServerRegistry;
+  readonly board: GroupRegistry;
   readonly fleet: Fleet;
-  readonly former: Former;
+  readonly planner: GroupPlanner;
   readonly leadership: Leadership;
-  readonly waiting: WaitingRoom;
+  readonly waiting: WaitQueue;
   readonly arrivals: Arrivals;
-  readonly limits: Limits;
-  readonly leaving: Leaving;
+  readonly limits: RateLimits;
+  readonly leaving: LeavingServers;
   readonly isStopping: () => boolean;
 }
 
@@ -75,7 +75,7 @@
     roster,
     board,
     fleet,
-    former,
+    planner: former,
     leadership,
     waiting,
     arrivals,
@@ -91,12 +91,12 @@
   /** The state last sent to the leader. */
   let told: PeerState | undefined;
   /** How far the servers are known, and since when. */
-  let serversAt = ORIGIN;
+  let serversAt = ORIGIN_POSITION;
   let serversSince = ctx.clock.now();
   const workLog = createWorkLog(ctx, board, roster.servers);
-  const findings = createFindings({ ctx, board, fleet, former, leadership });
+  const findings = createStallReporting({ ctx, board, fleet, planner: former, leadership });
   /** News that wait to be told, and from when on they may be. */
-  let pendingNews: RosterNews | undefined;
+  let pendingNews: ServerUpdates | undefined;
   let tellNewsAt = ctx.clock.now();
 
   /** By model: requests that wait here, and those that come in a second. */
@@ -123,8 +123,8 @@
     quiet: board.quiet().map((entry) => [...entry]),
     paces: board.paces().map((entry) => [...entry]),
     waiting: asked(),
-    limits: limits.told(),
-    leaving: leaving.told(),
+    limits: limits.report(),
+    leaving: leaving.report(),
   });
 
   const noteTraffic = (): void => {
@@ -148,7 +148,7 @@
     ctx.random.next() < HELPERS / fleet.size();
 
   /** A peer behind this daemon is turned away by the store, or has just started. */
-  const help = (peer: Progress, address: string): void => {
+  const help = (peer: PeerProgress, address: string): void => {
     if (!isHelper()) return;
     const now = ctx.clock.now();
     const table = config.table.value;
@@ -163,7 +163,7 @@
     const isLong = now >= later(serversSince, HELP_AFTER_MS);
     const isBehind = isLong && isLater(serversAt, peer.serversAt);
     // One that knows of no server at all is told even what this daemon can't look up any more.
-    const isFresh = !roster.watch.isFailing() || !isLater(peer.serversAt, ORIGIN);
+    const isFresh = !roster.watch.isFailing() || !isLater(peer.serversAt, ORIGIN_POSITION);
     const canTell = peer.isStoreLost && isFresh;
     if (isBehind && canTell && mayHelp(`servers ${address}`)) {
       fleet.send(address, {
@@ -177,47 +177,47 @@
   const take: {
     readonly [K in PlainMessage['kind']]: (
       message: Extract<PlainMessage, { kind: K }>,
-      from: FromPeer,
+      from: ReceivedMessage,
     ) => void;
   } = {
     state: (state, { from, address }) => {
       hasNews = true;
       ctx.store.noteEra(state.storeEra, `peer ${from}`);
-      findings.noteEvents(state.quiet);
-      limits.takeTold(state.limits, `peer ${from}`);
-      leaving.takeTold(state.leaving, `peer ${from}`);
+      findings.noteIdleTimes(state.quiet);
+      limits.applyReport(state.limits, `peer ${from}`);
+      leaving.applyReport(state.leaving, `peer ${from}`);
       if (state.hasTraffic) noteTraffic();
-      if (state.lease) leadership.takeLease(state.lease);
+      if (state.lease) leadership.notePeerLease(state.lease);
       help(state, address);
     },
     stalled: ({ group, head, finding }, { from }) => {
-      if (board.find(head)?.id === group) findings.take(finding, { group, head }, from);
+      if (board.find(head)?.id === group) findings.receive(finding, { group, head }, from);
     },
     limits: (message, { from }) => {
-      limits.takeTold(message.limits, `peer ${from}`);
+      limits.applyReport(message.limits, `peer ${from}`);
     },
     config: ({ config: offered }, { from }) => {
       const version = brandAs<ConfigVersion>(offered.version);
-      config.offer({ ...offered, version }, `peer ${from}`);
+      config.adoptIfNewer({ ...offered, version }, `peer ${from}`);
     },
     servers: ({ at, servers }) => {
-      roster.takeFromPeer(at, servers);
+      roster.adoptFromPeer(at, servers);
     },
     loads: (sums, { from, address }) => {
       ctx.store.noteEra(sums.storeEra, `peer ${from}`);
-      leadership.takeLease(sums.lease);
+      leadership.notePeerLease(sums.lease);
       if (sums.hasTraffic) noteTraffic();
-      limits.takeTold(sums.limits, `peer ${from}`);
-      leaving.takeTold(sums.leaving, `peer ${from}`);
-      board.takeLoads(told ? withoutOwn(sums, told) : sums, {
-        isWhole: isMost(sums.daemons),
-        isUnled: false,
+      limits.applyReport(sums.limits, `peer ${from}`);
+      leaving.applyReport(sums.leaving, `peer ${from}`);
+      board.applyLoads(told ? withoutOwn(sums, told) : sums, {
+        coversMost: isMost(sums.daemons),
+        isLeaderless: false,
         ageMs: RELAYED_AGE_MS,
       });
       help(sums, address);
     },
     news: ({ since, upTo, changes }) => {
-      roster.takeNews({
+      roster.applyUpdates({
         since,
         upTo,
         changes: changes.map(({ key, value }) => (value ? { key, value } : { key })),
@@ -234,9 +234,9 @@
 
   const takeDirectLoads = (now: MonoTime, peers: readonly PeerView[]): void => {
     if (!hasNews && now < newsDueAt) return;
-    board.takeLoads(sumLoads(peers), {
-      isWhole: isMost(peers.length + 1),
-      isUnled: false,
+    board.applyLoads(sumLoads(peers), {
+      coversMost: isMost(peers.length + 1),
+      isLeaderless: false,
       ageMs: intervalMs(peers.length),
     });
     hasNews = false;
@@ -251,14 +251,14 @@
     const { lease, configVersion, serversAt: at, storeEra } = state;
     const { isStoreLost, storeAgeMs, configAgeMs } = state;
     if (lease) {
-      board.takeLoads(sumLoads(peers), {
-        isWhole: isMost(peers.length + 1),
-        isUnled: false,
+      board.applyLoads(sumLoads(peers), {
+        coversMost: isMost(peers.length + 1),
+        isLeaderless: false,
         ageMs: RELAYED_AGE_MS,
       });
       // Who hears of a revision before the news that lead to it would ask the store for them.
       flushNews();
-      fleet.spread({
+      fleet.broadcastAsLeader({
         kind: 'loads',
         configVersion,
         serversAt: at,
@@ -270,9 +270,9 @@
         lease,
         daemons: peers.length + 1,
         // One that has just started knows none, and would send as if there were none.
-        limits: limits.toldToAll(peers.some(({ hearsLeader }) => !hearsLeader)),
+        limits: limits.reportToAll(peers.some(({ hearsLeader }) => !hearsLeader)),
         silent: [...fleet.silent()],
-        leaving: leaving.told({ ofAll: true }),
+        leaving: leaving.report({ ofAll: true }),
         ...sumLoads([...peers, state]),
       });
       return;
@@ -281,15 +281,15 @@
     const leader = fleet.leader();
     if (leader) fleet.answer(leader, told);
     else {
-      const facts = { isWhole: false, isUnled: true, ageMs: RELAYED_AGE_MS };
-      board.takeLoads(sumLoads(peers), facts);
+      const facts = { coversMost: false, isLeaderless: true, ageMs: RELAYED_AGE_MS };
+      board.applyLoads(sumLoads(peers), facts);
     }
   };
 
   /** Tells all peers; in a large fleet the leader does, and without one those that may become it are told. */
   const tellAll = (now: MonoTime, peers: readonly PeerView[], isLarge: boolean): void => {
     if (now < dueAt) return;
-    findings.forgetOld(now);
+    findings.expire(now);
     const extraMs = isLarge ? LARGE_INTERVAL_MS - LEAST_INTERVAL_MS : 0;
     dueAt = later(now, intervalMs(peers.length) + extraMs);
     if (!isLarge) fleet.broadcast(ownState());
@@ -307,11 +307,11 @@
     if (!pendingNews) return;
     const { since, upTo, changes } = pendingNews;
     pendingNews = undefined;
-    fleet.spread({ kind: 'news', since, upTo, changes: [...changes] });
+    fleet.broadcastAsLeader({ kind: 'news', since, upTo, changes: [...changes] });
   };
 
   roster.news.subscribe((news) => {
-    if (leadership.held() === undefined) {
+    if (leadership.heldFencing() === undefined) {
       pendingNews = undefined;
       return;
     }
@@ -329,7 +329,7 @@
       else takeDirectLoads(now, peers);
       tellAll(now, peers, isLarge);
       tellNews(now);
-      if (leadership.held() !== undefined) workLog.tick(now, () => [...peers, ownState()]);
+      if (leadership.heldFencing() !== undefined) workLog.tick(now, () => [...peers, ownState()]);
       fleet.tick();
     },
   };
--- a/src/app/gateway/directory.ts
+++ b/src/app/gateway/group-index.ts
@@ -9,24 +9,24 @@
 import type { EngineSpec, ModelSpec } from '../../core/gateway/types';
 import type { InstanceId, ServiceId } from '../../core/ids';
 import type { GatewayContext } from './context';
-import type { Roster } from './roster';
+import type { ServerRegistry } from './roster';
 
 /** An open group with the figures of its service. */
-export interface BoardGroup extends OpenGroup {
+export interface ServingGroup extends OpenGroup {
   readonly service: ServiceId;
   readonly engine: EngineSpec;
   readonly spec: ModelSpec;
 }
 
-export interface Directory {
+export interface GroupIndex {
   /** The open groups by their heads. */
-  groups(): ReadonlyMap<InstanceId, BoardGroup>;
+  groups(): ReadonlyMap<InstanceId, ServingGroup>;
   /** After a change of servers or configuration. */
   readonly changes: Observable<void>;
 }
 
-function findGroups(roster: Roster, table: RouteTable): Map<InstanceId, BoardGroup> {
-  const found = new Map<InstanceId, BoardGroup>();
+function findGroups(roster: ServerRegistry, table: RouteTable): Map<InstanceId, ServingGroup> {
+  const found = new Map<InstanceId, ServingGroup>();
   for (const group of findOpenGroups(roster.servers.values())) {
     const { service } = group.head;
     const engine = table.service(service)?.engine;
@@ -36,17 +36,17 @@
   return found;
 }
 
-export function createDirectory(
+export function createGroupIndex(
   { logger }: GatewayContext,
-  roster: Roster,
+  roster: ServerRegistry,
   routes: BehaviorSubject<RouteTable | undefined>,
-): Directory {
+): GroupIndex {
   const changes = new Subject<void>();
-  let known: ReadonlyMap<InstanceId, BoardGroup> = new Map();
+  let known: ReadonlyMap<InstanceId, ServingGroup> = new Map();
   /** Hundreds of servers change more often than anybody looks: groups are found anew when they are asked for. */
   let isStale = false;
 
-  const logChanges = (next: ReadonlyMap<InstanceId, BoardGroup>): void => {
+  const logChanges = (next: ReadonlyMap<InstanceId, ServingGroup>): void => {
     for (const [head, { id, model }] of next) {
       if (known.get(head)?.id !== id) {
         logger.info('group serves', { step: 'board', group: id, model, head });
--- a/src/app/gateway/former.ts
+++ b/src/app/gateway/group-planner.ts
@@ -23,9 +23,9 @@
 import type { Stall } from './board';
 import type { GatewayContext } from './context';
 import type { Leadership } from './lease';
-import type { Roster } from './roster';
+import type { ServerRegistry } from './roster';
 
-export interface Former {
+export interface GroupPlanner {
   /** Plans anew; to be called after each change and every so often. */
   tick(): void;
   /** Asks the members of a group that stands still, and replaces those that do not answer. */
@@ -54,18 +54,18 @@
  */
 const PLAN_SHARE = 0.2;
 
-export interface FormerOptions {
-  readonly roster: Roster;
+export interface GroupPlannerOptions {
+  readonly roster: ServerRegistry;
   readonly routes: () => RouteTable | undefined;
   readonly leadership: Leadership;
   readonly servers: Servers;
   /** Whether any daemon has streams running in the group. */
   readonly isBusy: (group: GroupId) => boolean;
   /** Work of each model, in full groups. */
-  readonly demand: () => ReadonlyMap<ModelId, number>;
+  readonly offeredLoad: () => ReadonlyMap<ModelId, number>;
 }
 
-export function createFormer(ctx: GatewayContext, options: FormerOptions): Former {
+export function createGroupPlanner(ctx: GatewayContext, options: GroupPlannerOptions): GroupPlanner {
   const { clock, logger } = ctx;
   const { roster, routes, leadership, servers, isBusy } = options;
   let term: FencingNumber | undefined;
@@ -85,7 +85,7 @@
     const now = clock.now();
     if (now < later(smoothedAt, DEMAND_MS)) return;
     smoothedAt = now;
-    for (const [model, work] of options.demand()) {
+    for (const [model, work] of options.offeredLoad()) {
       const before = smoothed.get(model) ?? work;
       smoothed.set(model, before + DEMAND_SMOOTHING * (work - before));
     }
@@ -185,7 +185,7 @@
   };
 
   const plan = (): void => {
-    const fencing = leadership.held();
+    const fencing = leadership.heldFencing();
     const table = routes();
     if (fencing === undefined || !table || roster.watch.isFailing()) return;
     if (fencing !== term) begin(fencing);
@@ -210,7 +210,7 @@
   const inspect = ({ group, head }: Stall): void => {
     const now = clock.now();
     const again = inspected.get(group);
-    if (leadership.held() === undefined || (again !== undefined && now < again)) return;
+    if (leadership.heldFencing() === undefined || (again !== undefined && now < again)) return;
     inspected.set(group, later(now, INSPECT_AGAIN_MS));
     const members = [...roster.servers.values(), ...roster.lapsed.values()].filter(
       ({ membership }) => membership?.group === group,
--- a/src/app/gateway/board.ts
+++ b/src/app/gateway/group-registry.ts
@@ -24,18 +24,18 @@
 import { summarizeWork } from '../../core/gateway/work';
 import type { ModelWork, WaitingLoad } from '../../core/gateway/work';
 import type { GroupId, InstanceId, ModelId, MonoTime, ServiceId } from '../../core/ids';
-import { leastOf } from './allowances';
-import type { Allowances } from './allowances';
+import { minOrZero } from './allowances';
+import type { Throttle } from './allowances';
 import type { GatewayContext } from './context';
-import { createDirectory } from './directory';
-import type { BoardGroup } from './directory';
+import { createGroupIndex } from './directory';
+import type { ServingGroup } from './directory';
 import type { LoadSums } from './loads';
 import { createPeerLoads } from './peer-loads';
-import type { SumFacts } from './peer-loads';
-import { createRooms } from './rooms';
-import type { Admission, ModelAsked } from './rooms';
-import type { Roster } from './roster';
-import { createSilenceWatch } from './silence-watch';
+import type { LoadSource } from './peer-loads';
+import { createSlotAdmission } from './rooms';
+import type { Admission, ModelOfferedLoad } from './rooms';
+import type { ServerRegistry } from './roster';
+import { createStallDetector } from './silence-watch';
 
 export interface Stall {
   readonly group: GroupId;
@@ -52,38 +52,38 @@
   readonly tried: ReadonlySet<InstanceId>;
 }
 
-export interface Board {
+export interface GroupRegistry {
   /** Groups of a model that are open and not under suspicion. */
   candidates(needs: GroupNeeds): GroupCandidate[];
   /** Those of the groups that a request of this daemon may be sent to. */
   admit(
     model: ModelId,
     groups: readonly GroupCandidate[],
-    asked: Omit<ModelAsked, 'elsewhere'>,
+    asked: Omit<ModelOfferedLoad, 'elsewhere'>,
   ): Admission;
   /** Places in the group that this daemon has to itself. */
-  granted(head: InstanceId): number;
+  grantedSlots(head: InstanceId): number;
   /** Whether any group of the model is open, suspected or not. */
-  serves(service: ServiceId, model: ModelId | undefined): boolean;
+  hasOpenGroup(service: ServiceId, model: ModelId | undefined): boolean;
   /** Time until a group of the model may be sent a request from here, by what servers said of themselves, milliseconds. */
-  turnInMs(service: ServiceId, model: ModelId): number;
+  msUntilToken(service: ServiceId, model: ModelId): number;
   /** The same from any daemon. */
-  takesInMs(service: ServiceId, model: ModelId): number;
-  find(head: InstanceId): BoardGroup | undefined;
+  msUntilAccepted(service: ServiceId, model: ModelId): number;
+  find(head: InstanceId): ServingGroup | undefined;
   /** Requests of the other daemons in the group, as far as is known here. */
-  runningElsewhere(head: InstanceId): number;
+  runningOnPeers(head: InstanceId): number;
   /** Whether any daemon has streams running in the group. */
   isBusy(group: GroupId): boolean;
   noteSent(head: InstanceId, promptTokens: number): void;
   /** The first event of a request came: its prompt has been read. */
-  noteRead(head: InstanceId, promptTokens: number): void;
+  notePrefilled(head: InstanceId, promptTokens: number): void;
   /** `unread`: tokens of the prompt, where no event came; `holdMs`: how long it had its place, where one came. */
   noteEnded(head: InstanceId, unread: number, holdMs?: number): void;
   noteEvent(head: InstanceId, pauseMs: number | undefined): void;
   /** The group surely stands still: this daemon's streams in it are moved as well. */
-  abandon(stall: Stall): void;
+  evacuate(stall: Stall): void;
   /** Groups that surely stand still, as `abandon` was told. */
-  readonly abandoned: Observable<Stall>;
+  readonly evacuated: Observable<Stall>;
   /** Sends nothing to the group for a while. False where that was so before. */
   suspect(group: GroupId, evidence: Evidence, reason: string): boolean;
   /** Holds back from a group whose head could not be reached, and tells of it. */
@@ -99,18 +99,18 @@
   /** Groups with requests of this daemon: time since any gave an event, milliseconds, by head. */
   quiet(): readonly (readonly [InstanceId, number])[];
   /** When a stream of this daemon last had an event of the group. */
-  eventAt(head: InstanceId): MonoTime | undefined;
+  lastEventAt(head: InstanceId): MonoTime | undefined;
   /** Paces of groups as this daemon saw them of late, by head. */
   paces(): readonly (readonly [InstanceId, number])[];
   /**
    * What the other daemons have running and waiting, together, and the paces that all saw. `ageMs`: what
    * happened longer ago is in it.
    */
-  takeLoads(sums: LoadSums, facts: LoadFacts): void;
+  applyLoads(sums: LoadSums, facts: LoadSnapshot): void;
   /** Whether the loads of the others are known, and young. */
-  knowsOthers(): boolean;
+  hasPeerLoads(): boolean;
   /** Work of each model over all daemons: requests that run or wait, in full groups. */
-  demand(): ReadonlyMap<ModelId, number>;
+  offeredLoad(): ReadonlyMap<ModelId, number>;
   /** Places of each model, the requests of all daemons in them, and those that wait for one. */
   work(waiting: readonly WaitingLoad[]): readonly ModelWork[];
   tick(): void;
@@ -118,27 +118,27 @@
 
 type Turnover = Pick<GroupRoom, 'running' | 'batchSize' | 'queued' | 'departing'>;
 
-export interface LoadFacts extends SumFacts {
+export interface LoadSnapshot extends LoadSource {
   readonly ageMs: number;
 }
 
-export function createBoard(
+export function createGroupRegistry(
   ctx: GatewayContext,
-  roster: Roster,
+  roster: ServerRegistry,
   routes: BehaviorSubject<RouteTable | undefined>,
-  allowances: Allowances,
-): Board {
+  allowances: Throttle,
+): GroupRegistry {
   const { clock, logger } = ctx;
   const progress = new Map<InstanceId, Progress>();
   let suspicions: Suspicions = new Map();
   const others = createPeerLoads(ctx);
-  const rooms = createRooms(ctx);
+  const rooms = createSlotAdmission(ctx);
   const stalls = new Subject<Stall>();
   const abandoned = new Subject<Stall>();
   const unreachable = new Subject<Stall>();
   const changes = new Subject<void>();
-  const directory = createDirectory(ctx, roster, routes);
-  const groups = (): ReadonlyMap<InstanceId, BoardGroup> => directory.groups();
+  const directory = createGroupIndex(ctx, roster, routes);
+  const groups = (): ReadonlyMap<InstanceId, ServingGroup> => directory.groups();
 
   const progressOf = (head: InstanceId): Progress =>
     progress.get(head) ?? createProgress(clock.now());
@@ -150,23 +150,23 @@
     (progress.get(head)?.unread ?? 0) + others.unread(head);
 
   /** Time that the prompts sent to the group take to be read, milliseconds. */
-  const readingMs = ({ head, engine, spec }: BoardGroup): number =>
+  const readingMs = ({ head, engine, spec }: ServingGroup): number =>
     (spec.pace * unreadIn(head.id)) / engine.prefillTokensPerMs;
 
-  const usualOf = ({ engine, spec, head }: BoardGroup): number =>
+  const usualOf = ({ engine, spec, head }: ServingGroup): number =>
     usualPauseMs(engine, spec.pace, runningIn(head.id));
 
-  const ownPace = (group: BoardGroup): number | undefined => {
+  const ownPace = (group: ServingGroup): number | undefined => {
     const seen = progress.get(group.head.id);
     return seen && slowdownOf(seen, usualOf(group), clock.now());
   };
 
   /** The slower of what this daemon and all together saw: one of them may have seen it later. */
-  const paceOf = (group: BoardGroup): number =>
+  const paceOf = (group: ServingGroup): number =>
     Math.max(ownPace(group) ?? 1, others.pace(group.head.id));
 
   /** The requests that the group has and may have, and those that leave it until loads are heard of again. */
-  const turnoverOf = ({ head, engine, spec }: BoardGroup): Turnover => {
+  const turnoverOf = ({ head, engine, spec }: ServingGroup): Turnover => {
     const { batchSize } = engine;
     const running = runningIn(head.id);
     const inPlaces = Math.min(running, batchSize);
@@ -176,11 +176,11 @@
       running,
       batchSize,
       queued: mostQueued(batchSize, { slackMs, holdMs }),
-      departing: departuresIn({ running, batchSize }, rooms.agedMs(), holdMs),
+      departing: departuresIn({ running, batchSize }, rooms.loadAgeMs(), holdMs),
     };
   };
 
-  const toCandidate = (group: BoardGroup, { maxPauseMs, tried }: GroupNeeds): GroupCandidate => {
+  const toCandidate = (group: ServingGroup, { maxPauseMs, tried }: GroupNeeds): GroupCandidate => {
     const { head, engine, spec } = group;
     const turnover = turnoverOf(group);
     const { running, batchSize } = turnover;
@@ -190,9 +190,9 @@
       maxUnread: readableTokens(engine, spec.pace, running, maxPauseMs),
     };
     const usualPrompt = engine.usual.prompt;
-    const readMeanwhile = (rooms.agedMs() * engine.prefillTokensPerMs) / (spec.pace * usualPrompt);
+    const readMeanwhile = (rooms.loadAgeMs() * engine.prefillTokensPerMs) / (spec.pace * usualPrompt);
     const room = { ...load, ...turnover, usualPrompt, readMeanwhile };
-    const turns = allowances.turns(head.id);
+    const turns = allowances.tokens(head.id);
     return {
       ...load,
       head: head.id,
@@ -204,10 +204,10 @@
     };
   };
 
-  const freePlace = (group: BoardGroup, holdMs: number | undefined): void => {
+  const freePlace = (group: ServingGroup, holdMs: number | undefined): void => {
     const { id, head, model } = group;
     if (holdMs !== undefined) rooms.noteHold(model, holdMs);
-    if (!isHeld(id) && ctx.random.next() < reuseChance(turnoverOf(group))) rooms.noteFree(head.id);
+    if (!isHeld(id) && ctx.random.next() < reuseChance(turnoverOf(group))) rooms.noteSlotFreed(head.id);
   };
 
   const isHeld = (group: GroupId): boolean => isSuspect(suspicions, group, clock.now());
@@ -219,21 +219,21 @@
     return isNew;
   };
 
-  const ofModel = (service: ServiceId, model: ModelId): BoardGroup[] =>
+  const ofModel = (service: ServiceId, model: ModelId): ServingGroup[] =>
     [...groups().values()].filter((group) => group.service === service && group.model === model);
 
-  const silence = createSilenceWatch(clock);
+  const silence = createStallDetector(clock);
 
   const findStalls = (): void => {
     for (const [head, seen] of progress) {
       const group = seen.running > 0 ? groups().get(head) : undefined;
       if (!group || isHeld(group.id)) continue;
-      const reason = silence.find(seen, {
+      const reason = silence.detect(seen, {
         usualMs: usualOf(group),
         readingMs: readingMs(group),
         running: runningIn(head),
-        knowsOthers: others.areKnown(),
-        elsewhere: others.running(head),
+        hasPeerLoads: others.areFresh(),
+        runningOnPeers: others.running(head),
       });
       if (reason === undefined) continue;
       suspect(group.id, 'silent', reason);
@@ -245,37 +245,37 @@
 
   return {
     stalls,
-    abandoned,
+    evacuated: abandoned,
     unreachable,
     noteUnreachable: (stall, reason) => {
       if (suspect(stall.group, 'unreachable', reason)) unreachable.next(stall);
     },
-    abandon: (stall) => {
+    evacuate: (stall) => {
       abandoned.next(stall);
     },
     changes,
     candidates: (needs) =>
       ofModel(needs.service, needs.model)
-        .filter(({ id, head }) => !isHeld(id) && allowances.turns(head.id) >= 1)
+        .filter(({ id, head }) => !isHeld(id) && allowances.tokens(head.id) >= 1)
         .map((group) => toCandidate(group, needs)),
     admit: (model, found, asked) =>
-      rooms.admit(model, found, { ...asked, elsewhere: others.asked(model) }),
-    granted: (head) => rooms.granted(head),
-    serves: (service, model) => model !== undefined && ofModel(service, model).length > 0,
-    turnInMs: (service, model) =>
-      leastOf(ofModel(service, model).map(({ head }) => allowances.turnInMs(head.id))),
-    takesInMs: (service, model) =>
-      leastOf(ofModel(service, model).map(({ head }) => allowances.takesInMs(head.id))),
+      rooms.admit(model, found, { ...asked, elsewhere: others.offeredLoad(model) }),
+    grantedSlots: (head) => rooms.grantedSlots(head),
+    hasOpenGroup: (service, model) => model !== undefined && ofModel(service, model).length > 0,
+    msUntilToken: (service, model) =>
+      minOrZero(ofModel(service, model).map(({ head }) => allowances.msUntilToken(head.id))),
+    msUntilAccepted: (service, model) =>
+      minOrZero(ofModel(service, model).map(({ head }) => allowances.msUntilAccepted(head.id))),
     find: (head) => groups().get(head),
-    runningElsewhere: (head) => others.running(head),
+    runningOnPeers: (head) => others.running(head),
     isBusy: (group) =>
       [...groups().values()].some(({ id, head }) => id === group && runningIn(head.id) > 0),
     noteSent: (head, promptTokens) => {
       progress.set(head, noteSent(progressOf(head), clock.now(), promptTokens));
       rooms.noteSent(head);
-      allowances.take(head);
+      allowances.takeToken(head);
     },
-    noteRead: (head, promptTokens) => {
+    notePrefilled: (head, promptTokens) => {
       progress.set(head, noteRead(progressOf(head), promptTokens));
     },
     noteEnded: (head, unread, holdMs) => {
@@ -304,17 +304,17 @@
         running > 0 && eventAt !== undefined ? [[head, Math.round(now - eventAt)] as const] : [],
       );
     },
-    eventAt: (head) => progress.get(head)?.eventAt,
-    knowsOthers: () => others.areKnown(),
-    takeLoads: (sums, { ageMs, ...facts }) => {
-      if (others.take(sums, facts)) rooms.noteLoads(ageMs);
+    lastEventAt: (head) => progress.get(head)?.eventAt,
+    hasPeerLoads: () => others.areFresh(),
+    applyLoads: (sums, { ageMs, ...facts }) => {
+      if (others.apply(sums, facts)) rooms.noteLoads(ageMs);
       changes.next();
     },
-    demand: () => {
+    offeredLoad: () => {
       const demand = new Map<ModelId, number>();
       for (const { engine } of routes.value?.config.services ?? []) {
         for (const { name } of engine?.models ?? []) {
-          demand.set(name, others.asked(name).waiting / (engine?.batchSize ?? 1));
+          demand.set(name, others.offeredLoad(name).waiting / (engine?.batchSize ?? 1));
         }
       }
       for (const { head, model, engine } of groups().values()) {
--- a/src/app/gateway/front.ts
+++ b/src/app/gateway/http-server.ts
@@ -13,12 +13,12 @@
 import type { CallFacts, Dialect } from '../../ports/gateway';
 import type { ConfigView } from './config-view';
 import type { GatewayContext } from './context';
-import { answerOwn, deadlinesOf } from './exchange';
+import { answerLocally, deadlinesOf } from './exchange';
 import type { Exchange, RetryAfter } from './exchange';
 import type { PlainCalls } from './plain-call';
 import type { StreamCalls } from './stream-call';
 
-export interface FrontDeps {
+export interface HttpServerDeps {
   readonly ctx: GatewayContext;
   readonly config: ConfigView;
   readonly dialect: Dialect;
@@ -28,7 +28,7 @@
   readonly onTraffic: () => void;
 }
 
-export interface Front {
+export interface HttpServer {
   start(): Promise<void>;
   /** Requests that are being read or answered. */
   inFlight(): number;
@@ -36,7 +36,7 @@
   beginStop(): void;
   /** Takes no new connection. */
   closeListener(): void;
-  cut(): void;
+  closeConnections(): void;
 }
 
 /** Callers may reuse a connection until shortly before the limit; it is kept a little longer than that. */
@@ -51,9 +51,9 @@
  * A peer that the store answers tells what is missed here after a quarter of a second. Callers come back
  * spread over the time that follows, most of them to another daemon.
  */
-const WHEN_UNCONFIRMED: RetryAfter = { leastMs: 300, spreadMs: 700 };
+const WHEN_UNCONFIRMED: RetryAfter = { minMs: 300, spreadMs: 700 };
 
-export function createFront(deps: FrontDeps): Front {
+export function createHttpServer(deps: HttpServerDeps): HttpServer {
   const { ctx, config } = deps;
   let inFlight = 0;
   let isStopping = false;
@@ -109,13 +109,13 @@
       server.close();
       server.closeIdleConnections();
     },
-    cut: () => {
+    closeConnections: () => {
       server.closeAllConnections();
     },
   };
 }
 
-async function serve(deps: FrontDeps, req: IncomingMessage, res: ServerResponse): Promise<void> {
+async function serve(deps: HttpServerDeps, req: IncomingMessage, res: ServerResponse): Promise<void> {
   const { ctx, config, dialect } = deps;
   const arrivedAt = ctx.clock.now();
   const gone = watchCaller(res);
@@ -146,7 +146,7 @@
 }
 
 const CALLS: Readonly<
-  Record<Route['kind'], (deps: FrontDeps, exchange: Exchange) => Promise<void>>
+  Record<Route['kind'], (deps: HttpServerDeps, exchange: Exchange) => Promise<void>>
 > = {
   safe: ({ plain }, exchange) => plain.call(exchange),
   unsafe: ({ plain }, exchange) => plain.call(exchange),
@@ -154,7 +154,7 @@
 };
 
 interface Arrived {
-  readonly deps: FrontDeps;
+  readonly deps: HttpServerDeps;
   readonly req: IncomingMessage;
   readonly res: ServerResponse;
   readonly body: Buffer;
@@ -190,7 +190,7 @@
 }
 
 /** A denial is final, so it needs knowledge that cannot be out of date. */
-function deny({ ctx, config }: FrontDeps, denial: Refusal): Refusal {
+function deny({ ctx, config }: HttpServerDeps, denial: Refusal): Refusal {
   if (mayDeny(config.ageMs(), ctx.tunables.value.configMs)) return denial;
   return [503, `${denial[1]}, as far as is known without the store`, WHEN_UNCONFIRMED];
 }
@@ -204,7 +204,7 @@
 }
 
 function refuse(
-  { ctx, config }: FrontDeps,
+  { ctx, config }: HttpServerDeps,
   facts: CallFacts,
   res: ServerResponse,
   [status, message, retryAfter]: Refusal,
@@ -218,7 +218,7 @@
     configAgeMs: Math.round(config.ageMs()),
     ...(facts.requestId !== undefined && { requestId: facts.requestId }),
   });
-  answerOwn(ctx, res, { status, message, ...(retryAfter && { retryAfter }) });
+  answerLocally(ctx, res, { status, message, ...(retryAfter && { retryAfter }) });
 }
 
 /** Aborts once the connection has closed before the answer was whole. */
--- a/src/app/gateway/lease.ts
+++ b/src/app/gateway/lease.ts
@@ -28,7 +28,7 @@
   ttlMs: 2_000,
   marginMs: 200,
   renewMs: 600,
-  backupDelayMs: 300,
+  rankDelayMs: 300,
   // Handing over a working lease gains nothing.
   handoverMs: 86_400_000,
 };
@@ -49,9 +49,9 @@
    */
   ownLease(): PeerState['lease'];
   /** Takes the row as the leader gossips it. */
-  takeLease(lease: NonNullable<PeerState['lease']>): void;
+  notePeerLease(lease: NonNullable<PeerState['lease']>): void;
   /** The fencing number, while this daemon may form groups. */
-  held(): FencingNumber | undefined;
+  heldFencing(): FencingNumber | undefined;
   tick(): void;
   /** Hands the lease back. */
   release(): void;
@@ -175,7 +175,7 @@
     rank(now);
     dispatch({ kind: 'tick' });
     if (state.held || now < readAt || state.reading || ctx.store.isAway()) return;
-    if (now < later(ledAt, readDelayMs(state.rank, state.settings.backupDelayMs))) return;
+    if (now < later(ledAt, readDelayMs(state.rank, state.settings.rankDelayMs))) return;
     readAt = later(now, READ_MS * (0.8 + 0.4 * ctx.random.next()));
     state = { ...state, reading: true };
     void read();
@@ -189,7 +189,7 @@
       const { era } = state;
       return { era, version: seen.version, row: seen.row, fenceVersion: held.fenceVersion };
     },
-    takeLease: ({ era, version, row, fenceVersion }) => {
+    notePeerLease: ({ era, version, row, fenceVersion }) => {
       ledAt = clock.now();
       readAt = later(ledAt, READ_MS);
       const isSuccessor = state.held !== undefined && row.fencing > state.held.fencing;
@@ -197,7 +197,7 @@
       const fence = { version: fenceVersion, row: { fencing: row.fencing } };
       dispatch({ kind: 'read', era, lease: { version, row }, fence });
     },
-    held: () => {
+    heldFencing: () => {
       const now = clock.now();
       if (!state.held || !isHolder(state, now)) return undefined;
       const ttl = state.settings.ttlMs - state.settings.marginMs;
--- a/src/app/gateway/leaving.ts
+++ b/src/app/gateway/leaving-servers.ts
@@ -6,15 +6,15 @@
 import { later } from '../../core/ids';
 import type { InstanceId, MonoTime } from '../../core/ids';
 import type { GatewayContext } from './context';
-import type { Roster } from './roster';
+import type { ServerRegistry } from './roster';
 
-export interface Leaving {
+export interface LeavingServers {
   /** The server said so in an answer to this daemon. */
   note(server: InstanceId): void;
   /** A peer says that it did. */
-  takeTold(servers: readonly InstanceId[], source: string): void;
+  applyReport(servers: readonly InstanceId[], source: string): void;
   /** Servers that said so to this daemon of late; `ofAll`: to any. */
-  told(options?: { readonly ofAll?: boolean }): InstanceId[];
+  report(options?: { readonly ofAll?: boolean }): InstanceId[];
 }
 
 /** Peers are told for so long: several times each, whatever becomes of one message. */
@@ -25,7 +25,7 @@
   readonly isOwn: boolean;
 }
 
-export function createLeaving({ clock, logger }: GatewayContext, roster: Roster): Leaving {
+export function createLeavingServers({ clock, logger }: GatewayContext, roster: ServerRegistry): LeavingServers {
   const heard = new Map<InstanceId, Heard>();
 
   const forgetOld = (now: MonoTime): void => {
@@ -42,10 +42,10 @@
     note: (server) => {
       take(server, true, 'answer');
     },
-    takeTold: (servers, source) => {
+    applyReport: (servers, source) => {
       for (const server of servers) take(server, false, source);
     },
-    told: ({ ofAll = false } = {}) => {
+    report: ({ ofAll = false } = {}) => {
       forgetOld(clock.now());
       return [...heard].flatMap(([server, { isOwn }]) => (isOwn || ofAll ? [server] : []));
     },
--- a/src/app/gateway/loads.ts
+++ b/src/app/gateway/loads.ts
@@ -4,9 +4,9 @@
  */
 
 import type { InstanceId } from '../../core/ids';
-import type { Loads, PeerState } from './messages';
+import type { LoadsMessage, PeerState } from './messages';
 
-export type LoadSums = Pick<Loads, 'running' | 'paces' | 'waiting'>;
+export type LoadSums = Pick<LoadsMessage, 'running' | 'paces' | 'waiting'>;
 
 /** Below this a group counts as being at its usual pace. */
 const SLOW_AT = 1.2;
--- a/src/app/gateway/messages.ts
+++ b/src/app/gateway/messages.ts
@@ -174,13 +174,13 @@
   relayedSchema,
 ]);
 
-export type Progress = Pick<
+export type PeerProgress = Pick<
   PeerState,
   'configVersion' | 'serversAt' | 'storeEra' | 'isStoreLost' | 'storeAgeMs' | 'configAgeMs'
 >;
-export type Loads = z.output<typeof loadsSchema>;
+export type LoadsMessage = z.output<typeof loadsSchema>;
 export type PeerState = z.output<typeof stateSchema>;
-export type Finding = z.output<typeof findings>;
+export type StallFinding = z.output<typeof findings>;
 export type GatewayMessage = z.output<typeof messageSchema>;
 type Relayed = z.output<typeof relayedSchema>;
 /** What the leader of a large fleet says to all. */
--- a/src/app/gateway/peer-loads.ts
+++ b/src/app/gateway/peer-loads.ts
@@ -7,25 +7,25 @@
 import type { LoadSums } from './loads';
 
 /** Whose loads were summed. */
-export interface SumFacts {
+export interface LoadSource {
   /** Of most daemons that may be at work. */
-  readonly isWhole: boolean;
+  readonly coversMost: boolean;
   /** Of the few that this daemon hears in a large fleet without a leader. */
-  readonly isUnled: boolean;
+  readonly isLeaderless: boolean;
 }
 
 export interface PeerLoads {
   /** False where the sums are passed over, since others that were heard before are nearer to the truth. */
-  take(sums: LoadSums, facts: SumFacts): boolean;
+  apply(sums: LoadSums, facts: LoadSource): boolean;
   /** Whether the loads of the others are known, and young. */
-  areKnown(): boolean;
+  areFresh(): boolean;
   /** Requests of the others in a group, and the prompt tokens of those without an event. */
   running(head: InstanceId): number;
   unread(head: InstanceId): number;
   /** How many times slower than usual a group is, as all saw it. */
   pace(head: InstanceId): number;
   /** Requests of the others that wait for a model, and those that come to them. */
-  asked(model: ModelId): Asked;
+  offeredLoad(model: ModelId): Asked;
 }
 
 /** The sum of all loads holds for so long: leaders tell it several times in that time. */
@@ -46,7 +46,7 @@
   let keptUntil = clock.now();
 
   return {
-    take: (sums, { isWhole, isUnled }) => {
+    apply: (sums, { coversMost: isWhole, isLeaderless: isUnled }) => {
       const now = clock.now();
       if (isUnled && now < keptUntil) return false;
       if (!isUnled) keptUntil = later(now, KEPT_MS);
@@ -58,10 +58,10 @@
       );
       return true;
     },
-    areKnown: () => clock.now() < knownUntil,
+    areFresh: () => clock.now() < knownUntil,
     running: (head) => running.get(head)?.[0] ?? 0,
     unread: (head) => running.get(head)?.[1] ?? 0,
     pace: (head) => paces.get(head) ?? 1,
-    asked: (model) => waiting.get(model) ?? NOTHING_ASKED,
+    offeredLoad: (model) => waiting.get(model) ?? NOTHING_ASKED,
   };
 }
--- a/src/app/gateway/peer-view.ts
+++ b/src/app/gateway/peer-view.ts
@@ -1,10 +1,10 @@
 /** Other daemons as this one hears of them. */
 
 import type { DaemonId, MonoTime } from '../../core/ids';
-import type { PeerState, PlainMessage, Progress } from './messages';
+import type { PeerState, PlainMessage, PeerProgress } from './messages';
 
 /** A message with its sender. */
-export interface FromPeer {
+export interface ReceivedMessage {
   readonly from: DaemonId;
   readonly address: string;
   /** Address of the daemon that passed it on; the sender's own where it came directly. */
@@ -26,7 +26,7 @@
   readonly via: string;
   /** When it last said so. */
   readonly at: MonoTime;
-  readonly progress: Progress;
+  readonly progress: PeerProgress;
   /** Daemons that it hears of, where it told. */
   readonly daemons?: number;
   /** Daemons of which it hears nothing, where it told. */
--- a/src/app/gateway/plain-call.ts
+++ b/src/app/gateway/plain-call.ts
@@ -14,23 +14,23 @@
 import type { InstanceId, MonoTime, ServiceId } from '../../core/ids';
 import type { AnswerFacts, Dialect } from '../../ports/gateway';
 import { fail } from '../../utils/errors';
-import { leastOf } from './allowances';
-import type { Allowances } from './allowances';
+import { minOrZero } from './allowances';
+import type { Throttle } from './allowances';
 import type { GatewayContext } from './context';
-import { giveUp, logEnding, logFailedAttempt, serverRests, whenTaken } from './exchange';
-import type { Exchange, Exposure } from './exchange';
+import { endUnanswered, logRequestEnd, logFailedAttempt, backoffError, retryAfterDelay } from './exchange';
+import type { Exchange, Execution } from './exchange';
 import type { Retries } from './retries';
-import type { Roster } from './roster';
-import type { Statements } from './statements';
+import type { ServerRegistry } from './roster';
+import type { ServerNotices } from './statements';
 
 export interface PlainDeps {
   readonly ctx: GatewayContext;
-  readonly roster: Roster;
+  readonly roster: ServerRegistry;
   readonly upstream: Upstream;
   readonly dialect: Dialect;
   readonly retries: Retries;
-  readonly statements: Statements;
-  readonly allowances: Allowances;
+  readonly notices: ServerNotices;
+  readonly throttle: Throttle;
 }
 
 export interface PlainCalls {
@@ -70,7 +70,7 @@
 const NONE_TAKES = 'the servers of the service take no more now';
 
 export function createPlainCalls(deps: PlainDeps): PlainCalls {
-  const { ctx, roster, retries, allowances } = deps;
+  const { ctx, roster, retries, throttle: allowances } = deps;
   const records = new Map<InstanceId, ServerRecord>();
 
   const recordOf = (id: InstanceId): ServerRecord => {
@@ -88,7 +88,7 @@
 
   const candidates = (service: ServiceId, tried: ReadonlySet<InstanceId>): PlainCandidate[] =>
     serversOf(service)
-      .filter(({ id }) => allowances.turns(id) >= 1)
+      .filter(({ id }) => allowances.tokens(id) >= 1)
       .map(({ id, zone, batchSize }) => ({
         id,
         zone,
@@ -99,7 +99,7 @@
 
   /** Time until a server of the service takes a request, by what servers said of themselves, milliseconds. */
   const whenAnyTakes = (service: ServiceId): number =>
-    leastOf(serversOf(service).map(({ id }) => allowances.takesInMs(id)));
+    minOrZero(serversOf(service).map(({ id }) => allowances.msUntilAccepted(id)));
 
   const choose = (
     exchange: Exchange,
@@ -121,7 +121,7 @@
     const record = recordOf(server.id);
     const startedAt = ctx.clock.now();
     record.running += 1;
-    allowances.take(server.id);
+    allowances.takeToken(server.id);
     const result = await sendOnce(deps, exchange, server, until);
     record.running -= 1;
     const hasFailed = result.kind !== 'answered' || isServerError(result.res);
@@ -152,7 +152,7 @@
 
   const call = async (exchange: Exchange): Promise<void> => {
     const tried = new Set<InstanceId>();
-    let exposure: Exposure = 'not-run';
+    let exposure: Execution = 'not-run';
     let reason: string | undefined;
     let attempts = 0;
     retries.noteRequest(exchange.service);
@@ -164,7 +164,7 @@
       if (result.kind !== 'not-sent') attempts += 1;
       if (exchange.gone.aborted) {
         const { id } = server;
-        logEnding(ctx, exchange, { outcome: 'caller-gone', status: 0, attempts, server: id });
+        logRequestEnd(ctx, exchange, { outcome: 'caller-gone', status: 0, attempts, server: id });
         return;
       }
       if (result.kind === 'answered') {
@@ -183,11 +183,11 @@
     }
     const takesInMs = whenAnyTakes(exchange.service);
     const without = takesInMs > 0 ? NONE_TAKES : NONE_KNOWN;
-    giveUp(ctx, exchange, {
+    endUnanswered(ctx, exchange, {
       exposure,
       reason: reason ?? without,
       attempts,
-      ...(takesInMs > 0 && { retryAfter: whenTaken(takesInMs) }),
+      ...(takesInMs > 0 && { retryAfter: retryAfterDelay(takesInMs) }),
     });
   };
 
@@ -209,7 +209,7 @@
   const headers = dialect.reply(res.rawHeaders);
   exchange.res.writeHead(status, [...headers, 'Content-Length', String(body.length)]);
   exchange.res.end(body);
-  logEnding(ctx, exchange, { outcome: 'served', status, attempts, server: server.id });
+  logRequestEnd(ctx, exchange, { outcome: 'served', status, attempts, server: server.id });
 }
 
 /** Sends the call to one server and reads its whole answer, until `until` at the latest. */
@@ -219,7 +219,7 @@
   server: BackendServer,
   until: MonoTime,
 ): Promise<Attempt> {
-  const { ctx, upstream, dialect, allowances } = deps;
+  const { ctx, upstream, dialect, throttle: allowances } = deps;
   const now = ctx.clock.now();
   const limit = AbortSignal.any([
     exchange.gone,
@@ -243,7 +243,7 @@
     signal: limit,
     beforeSend: () => {
       if (ctx.clock.now() >= until) return fail('deadline-exceeded', 'too late', { step: 'send' });
-      return allowances.isResting(server.id) ? serverRests() : undefined;
+      return allowances.isBackingOff(server.id) ? backoffError() : undefined;
     },
   });
   if (sent.kind === 'not-sent') return { kind: 'not-sent', reason: sent.error.message };
@@ -260,7 +260,7 @@
 }
 
 async function readWhole(
-  { statements }: PlainDeps,
+  { notices: statements }: PlainDeps,
   exchange: Exchange,
   { server, sentAt, answered, limit }: AnsweredBy,
 ): Promise<Attempt> {
--- a/src/app/gateway/limits.ts
+++ b/src/app/gateway/rate-limits.ts
@@ -9,32 +9,32 @@
 import { compareText } from '../../utils/common';
 import type { GatewayContext } from './context';
 
-export interface Limits {
+export interface RateLimits {
   /** An answer of the server came. */
   noteAnswer(server: InstanceId, said: Said): void;
-  takeTold(told: readonly Told[], source: string): void;
+  applyReport(told: readonly Told[], source: string): void;
   /** What servers said to this daemon, for its peers. */
-  told(): Told[];
+  report(): Told[];
   /** What servers said to anybody: all of it once a second and where it `isWanted`, else what has changed since the last call. */
-  toldToAll(isWanted: boolean): Told[];
+  reportToAll(isWanted: boolean): Told[];
   /** Requests that this daemon may send to the server now; infinite where the server named no limit. */
-  turns(server: InstanceId): number;
+  tokens(server: InstanceId): number;
   /** Takes a turn for a request that is being sent. */
-  take(server: InstanceId): void;
+  takeToken(server: InstanceId): void;
   /** Time until this daemon has a turn, milliseconds: 0 where it has one, infinite where it will have none. */
-  turnInMs(server: InstanceId): number;
+  msUntilToken(server: InstanceId): number;
   /** Time until the server takes a request of any daemon, milliseconds. */
-  takesInMs(server: InstanceId): number;
+  msUntilAccepted(server: InstanceId): number;
   /** Whether turns have come for requests that wait. */
   tick(): boolean;
 }
 
-export interface LimitsOptions {
+export interface RateLimitsOptions {
   /** Daemons that share the limits, this one included. */
   readonly daemons: () => readonly DaemonId[];
-  readonly isGone: (server: InstanceId) => boolean;
+  readonly isRemoved: (server: InstanceId) => boolean;
   /** Tells other daemons at once, whether or not anybody leads. */
-  readonly tell: (daemons: readonly DaemonId[], told: Told[]) => void;
+  readonly publish: (daemons: readonly DaemonId[], told: Told[]) => void;
 }
 
 interface Part {
@@ -53,10 +53,10 @@
 /** Senders beyond these hear of a change with all the others. */
 const MOST_TOLD_AT_ONCE = 16;
 
-export function createLimits(
+export function createRateLimits(
   ctx: GatewayContext,
-  { daemons, isGone, tell }: LimitsOptions,
-): Limits {
+  { daemons, isRemoved: isGone, publish: tell }: RateLimitsOptions,
+): RateLimits {
   const { clock, logger, settings } = ctx;
   let known: KnownLimits = new Map();
   let sharers: readonly DaemonId[] = [settings.id];
@@ -162,11 +162,11 @@
       const after = known.get(server)?.perSecond;
       if (after !== before) tellSenders(server, [before, after]);
     },
-    takeTold: (told, source) => {
+    applyReport: (told, source) => {
       apply(knownLimits.takeTold(known, told, clock.now()), source);
     },
-    told: () => knownLimits.tell(known, clock.now()),
-    toldToAll: (isWanted) => {
+    report: () => knownLimits.tell(known, clock.now()),
+    reportToAll: (isWanted) => {
       const now = clock.now();
       const all = knownLimits.tell(known, now, { ofAll: true });
       const isDue = isWanted || now >= tellAllAt;
@@ -177,18 +177,18 @@
       toldLast = known;
       return told;
     },
-    turns,
-    take: (server) => {
+    tokens: turns,
+    takeToken: (server) => {
       const part = partOf(server);
       if (!part) return;
       part.turns = { ...part.turns, saved: part.turns.saved - 1 };
       ctx.metrics.count('nutmegstack_limited_sends_total');
     },
-    turnInMs: (server) => {
+    msUntilToken: (server) => {
       const part = partOf(server);
       return part ? turnInMs(part.turns, part.share) : 0;
     },
-    takesInMs: (server) => {
+    msUntilAccepted: (server) => {
       const part = partOf(server);
       if (!part) return 0;
       return Math.min(turnInMs(part.turns, part.share), paceMs(part.limitPerS));
--- a/src/app/gateway/relaying.ts
+++ b/src/app/gateway/relaying.ts
@@ -9,21 +9,21 @@
 import { compareText } from '../../utils/common';
 import type { DaemonId, MonoTime } from '../../core/ids';
 import type { GatewayContext } from './context';
-import type { FromPeer, Leader, PeerView } from './peer-view';
+import type { ReceivedMessage, Leader, PeerView } from './peer-view';
 import type { GatewayMessage, LeaderMessage, PeerState, StateEntry } from './messages';
 
 /** Links to peers, as far as relaying needs them. */
 export interface RelayLinks {
   /** Sends to peers that answer, over new links where they have fallen silent. */
-  tell(addresses: Iterable<string>, message: GatewayMessage): void;
+  sendExpectingReply(addresses: Iterable<string>, message: GatewayMessage): void;
   sendToAll(addresses: Iterable<string>, message: GatewayMessage): void;
 }
 
 export interface Relaying {
   /** Says to all peers what the leader, which is this daemon, has to say. */
-  spread(message: LeaderMessage, live: readonly PeerView[], others: Iterable<string>): void;
+  broadcast(message: LeaderMessage, live: readonly PeerView[], others: Iterable<string>): void;
   /** Passes a leader's message on, and gives it as if it had come from there. */
-  passOn(message: Extract<GatewayMessage, { kind: 'relayed' }>, via: string): FromPeer;
+  forward(message: Extract<GatewayMessage, { kind: 'relayed' }>, via: string): ReceivedMessage;
   /** Keeps a peer's statement for the leader that this daemon follows. */
   collect(from: DaemonId, address: string, state: PeerState): void;
   /** Sends what was collected. */
@@ -61,7 +61,7 @@
   };
 
   return {
-    spread: (message, live, others) => {
+    broadcast: (message, live, others) => {
       renew(live, clock.now());
       const direct: string[] = [];
       const covered = new Set<string>();
@@ -69,13 +69,13 @@
         covered.add(relay);
         for (const address of to) covered.add(address);
         if (to.length === 0) direct.push(relay);
-        else links.tell([relay], { kind: 'relayed', to: [...to], origin, message });
+        else links.sendExpectingReply([relay], { kind: 'relayed', to: [...to], origin, message });
       }
       for (const address of others) if (!covered.has(address)) direct.push(address);
-      links.tell(direct, message);
+      links.sendExpectingReply(direct, message);
     },
-    passOn: ({ to, origin: first, message }, via) => {
-      links.tell(to, { kind: 'relayed', to: [], origin: first, message });
+    forward: ({ to, origin: first, message }, via) => {
+      links.sendExpectingReply(to, { kind: 'relayed', to: [], origin: first, message });
       return { from: first.id, address: first.address, via, message };
     },
     collect: (id, address, state) => {
--- a/src/app/gateway/statements.ts
+++ b/src/app/gateway/server-notices.ts
@@ -4,12 +4,12 @@
 
 import type { InstanceId, MonoTime } from '../../core/ids';
 import type { AnswerFacts, Dialect, ServerHead } from '../../ports/gateway';
-import type { Allowances } from './allowances';
+import type { Throttle } from './allowances';
 import type { GatewayContext } from './context';
-import type { Leaving } from './leaving';
-import type { Limits } from './limits';
+import type { LeavingServers } from './leaving';
+import type { RateLimits } from './limits';
 
-export interface Statements {
+export interface ServerNotices {
   /** Reads the head of an answer of the server; `sentAt`: when its request was sent. */
   read(
     server: InstanceId,
@@ -17,20 +17,20 @@
     sentAt: MonoTime,
   ): AnswerFacts;
   /** Takes what an answer to an order or a question says; that it names no limit there ends none. */
-  take(head: ServerHead): void;
+  apply(head: ServerHead): void;
 }
 
-export interface StatementsOptions {
+export interface ServerNoticesOptions {
   readonly dialect: Dialect;
-  readonly limits: Limits;
-  readonly allowances: Allowances;
-  readonly leaving: Leaving;
+  readonly limits: RateLimits;
+  readonly throttle: Throttle;
+  readonly leaving: LeavingServers;
 }
 
-export function createStatements(
+export function createServerNotices(
   { clock, logger }: GatewayContext,
-  { dialect, limits, allowances, leaving }: StatementsOptions,
-): Statements {
+  { dialect, limits, throttle: allowances, leaving }: ServerNoticesOptions,
+): ServerNotices {
   const take = ({ server, facts }: ServerHead, sentAt?: MonoTime): void => {
     for (const { about, header } of facts.unreadable) {
       const fields = { step: 'statement', server, about, header };
@@ -51,11 +51,11 @@
       const facts = dialect.readAnswer(statusCode, headers);
       take({ server, facts }, sentAt);
       if (!facts.isOfOther && facts.restMs !== undefined) {
-        allowances.noteRest(server, facts.restMs);
+        allowances.noteBackoff(server, facts.restMs);
       }
       return facts;
     },
-    take: (head) => {
+    apply: (head) => {
       take(head);
     },
   };
--- a/src/app/gateway/roster.ts
+++ b/src/app/gateway/server-registry.ts
@@ -17,22 +17,22 @@
 import type { BackendServer } from '../../core/gateway/types';
 import { later } from '../../core/ids';
 import type { InstanceId, MonoTime } from '../../core/ids';
-import { isLater, latest, ORIGIN } from '../../core/store-era';
-import type { Position } from '../../core/store-era';
+import { isLater, latest, ORIGIN_POSITION } from '../../core/store-era';
+import type { StorePosition } from '../../core/store-era';
 import type { Change, Feed } from '../../ports/gateway';
 import type { GatewayContext } from './context';
 import type { Leader } from './peer-view';
-import { wasAway, watchFeed } from './watch';
-import type { TakenAs, Watch } from './watch';
+import { hasFailedWithin, watchFeed } from './watch';
+import type { ChangeKind, Watch } from './watch';
 
 /** Servers that live enter themselves again within two seconds of the store's return; a little more for the way here. */
 const RETURN_MS = 2_300;
 /** Entries of servers that are gone are remembered for this long: as long as a cut from the store is likely to last. */
 const LAPSED_MS = 60_000;
 
-export type RosterNews = News<BackendServer>;
+export type ServerUpdates = News<BackendServer>;
 
-export interface Roster {
+export interface ServerRegistry {
   /** Last known entries of servers whose entries are gone. Some of them live and serve on. */
   readonly lapsed: ReadonlyMap<InstanceId, BackendServer>;
   readonly servers: ReadonlyMap<InstanceId, BackendServer>;
@@ -41,20 +41,20 @@
   /** After each change. */
   readonly changes: Observable<void>;
   /** What the store reported, for peers that look less often. */
-  readonly news: Observable<RosterNews>;
+  readonly news: Observable<ServerUpdates>;
   readonly watch: Watch;
   /** Takes a peer's view, where it is newer and the store cannot be reached from here. */
-  takeFromPeer(at: Position, servers: readonly BackendServer[]): void;
+  adoptFromPeer(at: StorePosition, servers: readonly BackendServer[]): void;
   /** Takes what a peer heard from the store, where it goes on from what is known here. */
-  takeNews(news: RosterNews): void;
+  applyUpdates(news: ServerUpdates): void;
   /** The server itself said that it leaves, and holds to it for this life. False where that is known. */
   noteLeaving(id: InstanceId): boolean;
   /** Point in the store's history at which the view last changed. */
-  changedAt(): Position;
+  changedAt(): StorePosition;
   tick(): void;
 }
 
-export interface RosterOptions {
+export interface ServerRegistryOptions {
   readonly feed: Feed<BackendServer>;
   /** Whether this daemon forms groups, and so needs each change at once. */
   readonly isLeading: () => boolean;
@@ -78,14 +78,14 @@
   return startedAt !== undefined && known.startedAt !== undefined && startedAt < known.startedAt;
 }
 
-export function createRoster(
+export function createServerRegistry(
   ctx: GatewayContext,
-  { feed, isLeading, leader }: RosterOptions,
-): Roster {
+  { feed, isLeading, leader }: ServerRegistryOptions,
+): ServerRegistry {
   const servers = new Map<InstanceId, BackendServer>();
   const changes = new Subject<void>();
-  const news = new Subject<RosterNews>();
-  let told = ORIGIN;
+  const news = new Subject<ServerUpdates>();
+  let told = ORIGIN_POSITION;
   /** Lapsed while the store was away: gone at this instant unless they come back. */
   const held = new Map<InstanceId, MonoTime>();
   /** The last known life of each server, by the name of its entry. */
@@ -97,7 +97,7 @@
   const gone = new Map<InstanceId, BackendServer>();
   /** Servers that said that they leave, whatever their entries say, and when that was heard. */
   const leaving = new Map<InstanceId, MonoTime>();
-  let changedAt = ORIGIN;
+  let changedAt = ORIGIN_POSITION;
 
   const asSaid = (server: BackendServer): BackendServer =>
     leaving.has(server.id) ? { ...server, isDraining: true } : server;
@@ -130,8 +130,8 @@
     const id = lives.get(name)?.id;
     if (id === undefined || !servers.has(id)) return;
     const now = ctx.clock.now();
-    if (wasAway(watch, now, RETURN_MS)) {
-      if (!held.has(id)) held.set(id, later(watch.returnedAt() ?? now, RETURN_MS));
+    if (hasFailedWithin(watch, now, RETURN_MS)) {
+      if (!held.has(id)) held.set(id, later(watch.recoveredAt() ?? now, RETURN_MS));
       return;
     }
     drop(id, 'entry gone');
@@ -169,7 +169,7 @@
     });
   };
 
-  const takeFromStore = (list: readonly Change<BackendServer>[], kind: TakenAs): void => {
+  const takeFromStore = (list: readonly Change<BackendServer>[], kind: ChangeKind): void => {
     take(kind === 'copy' ? withoutOutdated(list) : list, kind !== 'changes');
     const position = watch.position();
     changedAt = latest(changedAt, position);
@@ -208,10 +208,10 @@
 
   const watch = watchFeed(ctx, {
     feed,
-    take: takeFromStore,
-    trustUntil,
-    restUntil,
-    restsAlways: true,
+    apply: takeFromStore,
+    freshUntil: trustUntil,
+    nextPollAt: restUntil,
+    pausesWhenUnchanged: true,
     waitMs: () => longestAgeMs() * WAIT_SHARE,
   });
 
@@ -257,7 +257,7 @@
       return true;
     },
     changedAt: () => changedAt,
-    takeFromPeer: (at, list) => {
+    adoptFromPeer: (at, list) => {
       if (!watch.isFailing() || !isLater(at, latest(watch.position(), changedAt))) return;
       changedAt = at;
       take(
@@ -266,9 +266,9 @@
       );
       ctx.logger.info('servers taken from a peer', { step: 'roster', ...at });
     },
-    takeNews: ({ since, upTo, changes: list }) => {
+    applyUpdates: ({ since, upTo, changes: list }) => {
       const known = watch.position();
-      if (!isLater(known, ORIGIN) || !reaches(known, since) || !isLater(upTo, known)) return;
+      if (!isLater(known, ORIGIN_POSITION) || !reaches(known, since) || !isLater(upTo, known)) return;
       watch.skipTo(upTo);
       changedAt = latest(changedAt, upTo);
       told = upTo;
--- a/src/app/gateway/rooms.ts
+++ b/src/app/gateway/slot-admission.ts
@@ -15,7 +15,7 @@
 import type { GatewayContext } from './context';
 
 /** Requests of a model, here and on the other daemons. */
-export interface ModelAsked {
+export interface ModelOfferedLoad {
   readonly here: Asked;
   readonly elsewhere: Asked;
   /** Time that one can wait for a place and still be on time, milliseconds. */
@@ -31,14 +31,14 @@
   readonly noteSent: () => void;
 }
 
-export interface Rooms {
+export interface SlotAdmission {
   /** The loads of the others were taken in; they show what happened more than `ageMs` ago. */
   noteLoads(ageMs: number): void;
   /** Age of the others' loads when they are heard of, milliseconds. */
-  agedMs(): number;
+  loadAgeMs(): number;
   noteSent(head: InstanceId): void;
   /** A stream gave its place back; it is used again by this daemon. */
-  noteFree(head: InstanceId): void;
+  noteSlotFreed(head: InstanceId): void;
   /** A stream held its place for so long, milliseconds. */
   noteHold(model: ModelId, holdMs: number): void;
   /** Mean time that streams of the model hold a place; undefined before any has ended. */
@@ -46,14 +46,14 @@
   /** Mean time that its requests may wait for a place and still be on time; undefined before the first came. */
   slackMs(model: ModelId): number | undefined;
   /** Places in the group that this daemon has to itself. */
-  granted(head: InstanceId): number;
+  grantedSlots(head: InstanceId): number;
   /** What a request may use of the groups' room. */
-  admit(model: ModelId, groups: readonly GroupCandidate[], asked: ModelAsked): Admission;
+  admit(model: ModelId, groups: readonly GroupCandidate[], asked: ModelOfferedLoad): Admission;
 }
 
 const ignore = (): void => undefined;
 
-export function createRooms({ clock, random }: GatewayContext): Rooms {
+export function createSlotAdmission({ clock, random }: GatewayContext): SlotAdmission {
   const holds = new Map<ModelId, number>();
   const slacks = new Map<ModelId, number>();
   const granted = new Map<InstanceId, number>();
@@ -108,11 +108,11 @@
       granted.clear();
       lateLeft.clear();
     },
-    agedMs: () => agedMs,
+    loadAgeMs: () => agedMs,
     noteSent: (head) => {
       add(head, -1);
     },
-    noteFree: (head) => {
+    noteSlotFreed: (head) => {
       add(head, 1);
     },
     noteHold: (model, holdMs) => {
@@ -120,7 +120,7 @@
     },
     holdMs: (model) => holds.get(model),
     slackMs: (model) => slacks.get(model),
-    granted: (head) => granted.get(head) ?? 0,
+    grantedSlots: (head) => granted.get(head) ?? 0,
     admit: (model, groups, { here, elsewhere, slackMs, isLate }) => {
       slacks.set(model, noteHold(slacks.get(model), slackMs));
       const ages = { agedMs, slackMs };
--- a/src/app/gateway/silence-watch.ts
+++ b/src/app/gateway/stall-detector.ts
@@ -6,7 +6,7 @@
 import type { Clock } from '../../ports/runtime';
 
 /** What is known of a group beside the events that this daemon saw. */
-export interface SilentGroup {
+export interface StallContext {
   /** Usual pause between events of a stream, milliseconds. */
   readonly usualMs: number;
   /** Time that the prompts sent to it take to be read, milliseconds. */
@@ -14,15 +14,15 @@
   /** Requests of all daemons in it. */
   readonly running: number;
   /** Whether the loads of the other daemons are known, and their requests in it. */
-  readonly knowsOthers: boolean;
-  readonly elsewhere: number;
+  readonly hasPeerLoads: boolean;
+  readonly runningOnPeers: number;
 }
 
-export interface SilenceWatch {
+export interface StallDetector {
   /** To be called at each tick: a late one shows that the process did not run. */
   tick(): void;
   /** Why the silence of a group is evidence of a fault; undefined where it is none. */
-  find(progress: Progress, group: SilentGroup): string | undefined;
+  detect(progress: Progress, group: StallContext): string | undefined;
 }
 
 /** With so many requests of others in a group they tell of a fault as well. */
@@ -30,7 +30,7 @@
 /** A tick so late shows that the process did not run, milliseconds. */
 const HELD_UP_MS = 150;
 
-export function createSilenceWatch(clock: Clock): SilenceWatch {
+export function createStallDetector(clock: Clock): StallDetector {
   let tickedAt = clock.now();
   /** The end of the last time in which this process did not run, as when it was short of processor time. */
   let heldUpUntil = clock.now();
@@ -41,7 +41,7 @@
       if (now >= later(tickedAt, HELD_UP_MS)) heldUpUntil = now;
       tickedAt = now;
     },
-    find: (last, { usualMs, readingMs, running, knowsOthers, elsewhere }) => {
+    detect: (last, { usualMs, readingMs, running, hasPeerLoads: knowsOthers, runningOnPeers: elsewhere }) => {
       const now = clock.now();
       // Events that came while this process did not run are not read yet.
       const seen = last.since < heldUpUntil ? { ...last, since: heldUpUntil } : last;
--- a/src/app/gateway/findings.ts
+++ b/src/app/gateway/stall-reporting.ts
@@ -7,27 +7,27 @@
 import type { Witnesses } from '../../core/gateway/witnesses';
 import type { DaemonId, InstanceId, MonoTime } from '../../core/ids';
 import { later } from '../../core/ids';
-import type { Board, Stall } from './board';
+import type { GroupRegistry, Stall } from './board';
 import type { GatewayContext } from './context';
 import type { Fleet } from './fleet';
-import type { Former } from './former';
+import type { GroupPlanner } from './former';
 import type { Leadership } from './lease';
-import type { Finding, PeerState } from './messages';
+import type { StallFinding, PeerState } from './messages';
 
-export interface FindingsDeps {
+export interface StallReportingDeps {
   readonly ctx: GatewayContext;
-  readonly board: Board;
+  readonly board: GroupRegistry;
   readonly fleet: Fleet;
-  readonly former: Former;
+  readonly planner: GroupPlanner;
   readonly leadership: Leadership;
 }
 
-export interface Findings {
+export interface StallReporting {
   /** What a daemon found of a group that is known here. */
-  take(finding: Finding, stall: Stall, reporter: DaemonId): void;
+  receive(finding: StallFinding, stall: Stall, reporter: DaemonId): void;
   /** When groups gave events to a peer, as it told just now. */
-  noteEvents(quiet: PeerState['quiet']): void;
-  forgetOld(now: MonoTime): void;
+  noteIdleTimes(quiet: PeerState['quiet']): void;
+  expire(now: MonoTime): void;
 }
 
 /** Requests of others that a group is taken to have while their loads are not known: as many as a busy one. */
@@ -35,7 +35,7 @@
 /** Older events say nothing of a group any more. */
 const EVENT_MEMORY_MS = 10_000;
 
-export function createFindings({ ctx, board, fleet, former, leadership }: FindingsDeps): Findings {
+export function createStallReporting({ ctx, board, fleet, planner: former, leadership }: StallReportingDeps): StallReporting {
   let witnesses: Witnesses = new Map();
   /** When groups last gave an event to a peer, by head. */
   const lastEvents = new Map<InstanceId, MonoTime>();
@@ -44,12 +44,12 @@
   const believe = ({ group, head }: Stall, finding: 'confirmed' | 'lost', source: string): void => {
     const evidence = finding === 'lost' ? 'lost' : 'silent';
     const isNews = board.suspect(group, evidence, source);
-    board.abandon({ group, head });
+    board.evacuate({ group, head });
     if (finding === 'confirmed') former.inspect({ group, head });
     // In a large fleet only the leader was told; what it found by itself is news to all.
     const mustTell = finding === 'lost' || (isNews && fleet.isLarge());
-    if (mustTell && leadership.held() !== undefined) {
-      fleet.spread({ kind: 'stalled', group, head, finding });
+    if (mustTell && leadership.heldFencing() !== undefined) {
+      fleet.broadcastAsLeader({ kind: 'stalled', group, head, finding });
     }
   };
 
@@ -58,15 +58,15 @@
     const { group, head } = stall;
     witnesses = noteWitness(witnesses, group, reporter, now);
     // Where the others' loads are not known, they are taken to have many streams there.
-    const running = board.knowsOthers() ? board.runningElsewhere(head) : UNKNOWN_RUNNING;
-    const eventAt = latest(lastEvents.get(head), board.eventAt(head));
+    const running = board.hasPeerLoads() ? board.runningOnPeers(head) : UNKNOWN_RUNNING;
+    const eventAt = latest(lastEvents.get(head), board.lastEventAt(head));
     const isSure = isConfirmed(witnesses, group, { running, eventAt }, now);
     ctx.logger.info('group seen silent', { step: 'stall', group, reporter, running, isSure });
     if (isSure) believe(stall, 'confirmed', `reported by ${reporter}`);
   };
 
   /** What a daemon found of a group. One that could not reach it may have lost only its own link. */
-  const takeFinding: Readonly<Record<Finding, (stall: Stall, reporter: DaemonId) => void>> = {
+  const takeFinding: Readonly<Record<StallFinding, (stall: Stall, reporter: DaemonId) => void>> = {
     seen: noteSeen,
     unreachable: (stall) => {
       former.inspect(stall);
@@ -76,7 +76,7 @@
     },
     lost: (stall, reporter) => {
       board.suspect(stall.group, 'lost', `found by ${reporter}`);
-      board.abandon(stall);
+      board.evacuate(stall);
     },
   };
 
@@ -116,11 +116,11 @@
   };
 
   return {
-    take: (finding, stall, reporter) => {
+    receive: (finding, stall, reporter) => {
       takeFinding[finding](stall, reporter);
     },
-    noteEvents,
-    forgetOld: forgetEvents,
+    noteIdleTimes: noteEvents,
+    expire: forgetEvents,
   };
 }
 
--- a/src/app/gateway/store-access.ts
+++ b/src/app/gateway/store-access.ts
@@ -11,7 +11,7 @@
 import type { StoreEra } from '../../core/store-era';
 
 /** An era of the store that was not known here before. */
-export interface EraSeen {
+export interface EraChange {
   readonly before: StoreEra;
   readonly era: StoreEra;
   /** The call that showed it, or the peer that told of it. */
@@ -29,20 +29,20 @@
    * Resolves when the collection may try again: at once for the one that tries for all, for others once
    * the store has answered, or after `longestMs`.
    */
-  turn(collection: string, longestMs: number): Promise<void>;
+  waitForRetry(collection: string, longestMs: number): Promise<void>;
   /** The newest era of the store that is known here. */
   era(): StoreEra;
   /** What a call or a peer shows of the era, before anything is made of what else it says. */
   noteEra(era: StoreEra, source: string): void;
   /** Each newer era, within the call that notes it. */
-  readonly eras: Observable<EraSeen>;
+  readonly eras: Observable<EraChange>;
 }
 
 export function createStoreAccess(): StoreAccess {
   const answers = new Subject<void>();
   let trying: string | undefined;
   let answeredAt: MonoTime | undefined;
-  const eras = new Subject<EraSeen>();
+  const eras = new Subject<EraChange>();
   let known = FIRST_ERA;
   return {
     eras,
@@ -63,7 +63,7 @@
       answers.next();
     },
     answeredAt: () => answeredAt,
-    turn: async (collection, longestMs) => {
+    waitForRetry: async (collection, longestMs) => {
       if (trying === undefined || trying === collection) return;
       await firstValueFrom(race(answers, timer(longestMs)));
     },
--- a/src/app/gateway/stream-call.ts
+++ b/src/app/gateway/stream-call.ts
@@ -10,25 +10,25 @@
 import { later } from '../../core/ids';
 import type { InstanceId, ModelId, MonoTime } from '../../core/ids';
 import { fail } from '../../utils/errors';
-import type { Allowances } from './allowances';
-import type { Board } from './board';
-import type { BoardGroup } from './directory';
+import type { Throttle } from './allowances';
+import type { GroupRegistry } from './board';
+import type { ServingGroup } from './directory';
 import {
-  giveUp,
-  logEnding,
+  endUnanswered,
+  logRequestEnd,
   logFailedAttempt,
-  serverRests,
-  WHEN_UNSERVED,
-  whenTaken,
+  backoffError,
+  RETRY_AFTER_UNSERVED,
+  retryAfterDelay,
 } from './exchange';
 import type { Exchange, RetryAfter, StreamTimes } from './exchange';
-import { takePlace } from './placing';
-import type { PlacingDeps } from './placing';
+import { takeSlot } from './placing';
+import type { SlotDeps } from './placing';
 import type { Retries } from './retries';
 import { createRouteTimes } from './route-times';
 import type { RouteTimes } from './route-times';
-import { describe, relay } from './stream-relay';
-import type { Ended, Place, RelayDeps, StreamState } from './stream-relay';
+import { abortReason, relay } from './stream-relay';
+import type { AttemptResult, Slot, RelayDeps, StreamState } from './stream-relay';
 
 /** A group that lost a member is formed again from warm servers in little more than half a second. */
 const UNSERVED_WAIT_MS = 700;
@@ -38,8 +38,8 @@
  */
 const MAX_UNREACHED = 4;
 
-export interface StreamDeps extends RelayDeps, PlacingDeps {
-  readonly allowances: Allowances;
+export interface StreamDeps extends RelayDeps, SlotDeps {
+  readonly throttle: Throttle;
   readonly upstream: Upstream;
   readonly retries: Retries;
 }
@@ -60,9 +60,9 @@
     exchange: Exchange,
     model: ModelId,
     state: StreamState,
-  ): BoardGroup | undefined => {
+  ): ServingGroup | undefined => {
     const { service, route, facts } = exchange;
-    return takePlace(deps, {
+    return takeSlot(deps, {
       service,
       model,
       promptTokens: facts.promptTokens,
@@ -76,7 +76,7 @@
   /** A caller whose model no group serves is told to come back, for its wait would likely be in vain. */
   const waitUntil = (exchange: Exchange, model: ModelId, state: StreamState): MonoTime => {
     if (state.hasStarted) return exchange.answerBy;
-    if (board.serves(exchange.service, model)) return exchange.placeBy;
+    if (board.hasOpenGroup(exchange.service, model)) return exchange.placeBy;
     const soon = later(exchange.arrivedAt, UNSERVED_WAIT_MS);
     return soon < exchange.placeBy ? soon : exchange.placeBy;
   };
@@ -86,12 +86,12 @@
     exchange: Exchange,
     model: ModelId,
     state: StreamState,
-  ): Promise<BoardGroup | undefined> => {
+  ): Promise<ServingGroup | undefined> => {
     const found = choose(exchange, model, state);
     if (found) return found;
     const since = ctx.clock.now();
     const until = waitUntil(exchange, model, state);
-    if (later(since, board.turnInMs(exchange.service, model)) > until) return undefined;
+    if (later(since, board.msUntilToken(exchange.service, model)) > until) return undefined;
     const place = await deps.waiting.wait({
       model,
       priority: exchange.priority,
@@ -107,7 +107,7 @@
     return place;
   };
 
-  const mayGoOn = (exchange: Exchange, state: StreamState, ended: Ended): boolean => {
+  const mayGoOn = (exchange: Exchange, state: StreamState, ended: AttemptResult): boolean => {
     const { route } = exchange;
     if (exchange.gone.aborted || ctx.clock.now() >= exchange.answerBy) return false;
     if (ended === 'not-sent') return state.unreached < MAX_UNREACHED;
@@ -132,7 +132,7 @@
       reason: 'no group of the model has room',
     };
     if (model === undefined) {
-      giveUp(ctx, exchange, {
+      endUnanswered(ctx, exchange, {
         exposure: 'not-run',
         reason: 'the request names no model',
         attempts: 0,
@@ -153,7 +153,7 @@
         const status = exchange.res.statusCode;
         const { attempts } = state;
         const server = group.head.id;
-        logEnding(ctx, exchange, {
+        logRequestEnd(ctx, exchange, {
           outcome: 'served',
           status,
           attempts,
@@ -182,15 +182,15 @@
 
 /** Why a group could not be found and when to come back, where that is known. */
 function whyUnplaced(
-  board: Board,
+  board: GroupRegistry,
   { service, facts: { model } }: Exchange,
 ): { readonly reason: string; readonly retryAfter: RetryAfter } | undefined {
-  if (model === undefined || !board.serves(service, model)) {
-    return { reason: 'no group serves the model', retryAfter: WHEN_UNSERVED };
+  if (model === undefined || !board.hasOpenGroup(service, model)) {
+    return { reason: 'no group serves the model', retryAfter: RETRY_AFTER_UNSERVED };
   }
-  const takesInMs = board.takesInMs(service, model);
+  const takesInMs = board.msUntilAccepted(service, model);
   if (takesInMs === 0) return undefined;
-  return { reason: 'the groups of the model take no more now', retryAfter: whenTaken(takesInMs) };
+  return { reason: 'the groups of the model take no more now', retryAfter: retryAfterDelay(takesInMs) };
 }
 
 function endWithoutAnswer(
@@ -202,7 +202,7 @@
   const { res, gone } = exchange;
   const times = timesOf(exchange, state);
   if (gone.aborted) {
-    logEnding(ctx, exchange, {
+    logRequestEnd(ctx, exchange, {
       outcome: 'caller-gone',
       status: 0,
       attempts,
@@ -214,7 +214,7 @@
   }
   if (!state.hasStarted) {
     const unplaced = whyUnplaced(board, exchange);
-    giveUp(ctx, exchange, {
+    endUnanswered(ctx, exchange, {
       exposure,
       reason: attempts === 0 ? (unplaced?.reason ?? reason) : reason,
       attempts,
@@ -226,21 +226,21 @@
   // The caller must not take what it has for a whole answer.
   res.destroy();
   const status = res.statusCode;
-  logEnding(ctx, exchange, { outcome: 'torn', status, attempts, reason, ...times });
+  logRequestEnd(ctx, exchange, { outcome: 'torn', status, attempts, reason, ...times });
 }
 
 /** Sends the request to one group and passes its events on. */
 async function attempt(
   deps: StreamDeps & { readonly times: RouteTimes },
   exchange: Exchange,
-  group: BoardGroup,
+  group: ServingGroup,
   state: StreamState,
-): Promise<Ended> {
-  const { ctx, board, upstream, dialect, allowances } = deps;
+): Promise<AttemptResult> {
+  const { ctx, board, upstream, dialect, throttle: allowances } = deps;
   const { head } = group;
   const stop = new AbortController();
   const now = ctx.clock.now();
-  const place: Place = { sentAt: now, readAt: undefined };
+  const place: Slot = { sentAt: now, prefilledAt: undefined };
   const end = later(exchange.answerBy, 0);
   const limit = setTimeout(
     () => {
@@ -252,7 +252,7 @@
     stop.abort(new Error('caller gone'));
   };
   exchange.gone.addEventListener('abort', onGone, { once: true });
-  const stalls = merge(board.stalls, board.abandoned).subscribe((stall) => {
+  const stalls = merge(board.stalls, board.evacuated).subscribe((stall) => {
     if (stall.head === head.id) stop.abort(new Error('group stands still'));
   });
   try {
@@ -274,11 +274,11 @@
       signal: stop.signal,
       beforeSend: () => {
         if (ctx.clock.now() >= end) return fail('deadline-exceeded', 'too late', { step: 'send' });
-        return allowances.isResting(head.id) ? serverRests() : undefined;
+        return allowances.isBackingOff(head.id) ? backoffError() : undefined;
       },
     });
     if (sent.kind !== 'answered') {
-      state.reason = describe(stop.signal, sent.error.message);
+      state.reason = abortReason(stop.signal, sent.error.message);
       if (exchange.gone.aborted) return 'caller-gone';
       if (sent.kind === 'lost') return 'lost';
       if (sent.error.code === 'unavailable' && !stop.signal.aborted) {
@@ -286,7 +286,7 @@
       }
       return 'not-sent';
     }
-    return await relay({ deps, exchange, group, state, answered: sent, stop: stop.signal, place });
+    return await relay({ deps, exchange, group, state, answered: sent, stop: stop.signal, slot: place });
   } finally {
     clearTimeout(limit);
     exchange.gone.removeEventListener('abort', onGone);
@@ -299,7 +299,7 @@
   { ctx, board, times }: StreamDeps & { readonly times: RouteTimes },
   { route, facts }: Exchange,
   head: InstanceId,
-  { sentAt, readAt }: Place,
+  { sentAt, prefilledAt: readAt }: Slot,
 ): void {
   if (readAt === undefined) {
     board.noteEnded(head, facts.promptTokens);
--- a/src/app/gateway/stream-relay.ts
+++ b/src/app/gateway/stream-relay.ts
@@ -4,17 +4,17 @@
 import { createEventReader } from '../../core/gateway/events';
 import type { InstanceId, MonoTime } from '../../core/ids';
 import type { AnswerFacts, Dialect } from '../../ports/gateway';
-import type { Board } from './board';
-import type { BoardGroup } from './directory';
+import type { GroupRegistry } from './board';
+import type { ServingGroup } from './directory';
 import type { GatewayContext } from './context';
-import type { Exchange, Exposure } from './exchange';
-import type { Statements } from './statements';
+import type { Exchange, Execution } from './exchange';
+import type { ServerNotices } from './statements';
 
 export interface RelayDeps {
   readonly ctx: GatewayContext;
-  readonly board: Board;
+  readonly board: GroupRegistry;
   readonly dialect: Dialect;
-  readonly statements: Statements;
+  readonly notices: ServerNotices;
 }
 
 /** Progress of one caller's stream over all its attempts. */
@@ -26,7 +26,7 @@
   unreached: number;
   /** Head of the group that it was sent to last. */
   server: InstanceId | undefined;
-  exposure: Exposure;
+  exposure: Execution;
   /** Id of the last event that the caller has. */
   lastId: number | undefined;
   hasStarted: boolean;
@@ -38,38 +38,38 @@
 }
 
 /** A request's place in a group. */
-export interface Place {
+export interface Slot {
   readonly sentAt: MonoTime;
   /** When the first event showed that the prompt has been read. */
-  readAt: MonoTime | undefined;
+  prefilledAt: MonoTime | undefined;
 }
 
 /** An answer that is being passed on. */
-export interface Relay {
+export interface RelayedAnswer {
   readonly deps: RelayDeps;
   readonly exchange: Exchange;
-  readonly group: BoardGroup;
+  readonly group: ServingGroup;
   readonly state: StreamState;
   readonly answered: Answered;
   readonly stop: AbortSignal;
-  readonly place: Place;
+  readonly slot: Slot;
 }
 
 /** How one attempt ended. */
-export type Ended = 'complete' | 'passed-on' | 'not-sent' | 'not-run' | 'lost' | 'caller-gone';
+export type AttemptResult = 'complete' | 'passed-on' | 'not-sent' | 'not-run' | 'lost' | 'caller-gone';
 
 /** Why an attempt was stopped, where it was; else what its connection says. */
-export function describe(signal: AbortSignal, otherwise: string): string {
+export function abortReason(signal: AbortSignal, otherwise: string): string {
   return signal.reason instanceof Error ? signal.reason.message : otherwise;
 }
 
 /** Passes the answer on to its end or to where it breaks. */
-export async function relay(relayed: Relay): Promise<Ended> {
+export async function relay(relayed: RelayedAnswer): Promise<AttemptResult> {
   const { deps, exchange, group, state, answered, stop } = relayed;
   const { res, destroy } = answered;
   const status = res.statusCode ?? 0;
-  const facts = deps.statements.read(group.head.id, res, relayed.place.sentAt);
-  const lose = (reason: string): Ended => {
+  const facts = deps.notices.read(group.head.id, res, relayed.slot.sentAt);
+  const lose = (reason: string): AttemptResult => {
     state.reason = reason;
     destroy();
     return exchange.gone.aborted ? 'caller-gone' : 'lost';
@@ -86,7 +86,7 @@
   if (status >= 300) return passFailure(deps, exchange, state, answered, facts);
   if (!facts.isSigned) return lose('answer without signature');
   const reason = await passEvents(relayed);
-  if (reason !== undefined) return lose(describe(stop, reason));
+  if (reason !== undefined) return lose(abortReason(stop, reason));
   exchange.res.end();
   return 'complete';
 }
@@ -98,7 +98,7 @@
   state: StreamState,
   { res, destroy, hasFailed }: Answered,
   facts: AnswerFacts,
-): Promise<Ended> {
+): Promise<AttemptResult> {
   const status = res.statusCode ?? 0;
   const chunks: Buffer[] = [];
   try {
@@ -119,8 +119,8 @@
 }
 
 /** Passes events on until the end; gives a reason where the stream is not whole. */
-function passEvents(relayed: Relay): Promise<string | undefined> {
-  const { deps, exchange, group, state, stop, place } = relayed;
+function passEvents(relayed: RelayedAnswer): Promise<string | undefined> {
+  const { deps, exchange, group, state, stop, slot: place } = relayed;
   const { ctx, board, dialect } = deps;
   const head = group.head.id;
   const { res: from, hasFailed } = relayed.answered;
@@ -154,8 +154,8 @@
       const now = ctx.clock.now();
       board.noteEvent(head, lastAt === undefined ? undefined : now - lastAt);
       lastAt = now;
-      if (place.readAt === undefined) board.noteRead(head, exchange.facts.promptTokens);
-      place.readAt ??= now;
+      if (place.prefilledAt === undefined) board.notePrefilled(head, exchange.facts.promptTokens);
+      place.prefilledAt ??= now;
       state.firstEventAt ??= now;
       start();
       res.write(passed.length === 1 ? passed[0] : Buffer.concat(passed));
@@ -176,7 +176,7 @@
     });
     stop.addEventListener('abort', () => {
       from.off('data', onChunk);
-      resolve(describe(stop, 'stopped'));
+      resolve(abortReason(stop, 'stopped'));
     });
   });
 }
--- a/src/app/gateway/placing.ts
+++ b/src/app/gateway/take-slot.ts
@@ -2,21 +2,21 @@
 
 import { chooseGroup, drawGroup, listOpen } from '../../core/gateway/balance';
 import type { Arrivals } from './arrivals';
-import type { Board, GroupNeeds } from './board';
+import type { GroupRegistry, GroupNeeds } from './board';
 import type { GatewayContext } from './context';
-import type { BoardGroup } from './directory';
-import type { WaitingRoom } from './waiting';
+import type { ServingGroup } from './directory';
+import type { WaitQueue } from './waiting';
 
-export interface PlacingDeps {
+export interface SlotDeps {
   readonly ctx: GatewayContext;
-  readonly board: Board;
-  readonly waiting: WaitingRoom;
+  readonly board: GroupRegistry;
+  readonly waiting: WaitQueue;
   readonly arrivals: Arrivals;
   /** Daemons that may choose as well, this one included. */
   readonly daemons: () => number;
 }
 
-export interface PlaceRequest extends GroupNeeds {
+export interface SlotRequest extends GroupNeeds {
   readonly promptTokens: number;
   /** Time that the request may wait for a place in all and still be on time, milliseconds. */
   readonly slackMs: number;
@@ -28,15 +28,15 @@
 const FEW_DAEMONS = 10;
 
 /** The group in which a place was taken; undefined where none has room for this daemon. */
-export function takePlace(
-  deps: PlacingDeps,
-  { promptTokens, slackMs, isLate, ...needs }: PlaceRequest,
-): BoardGroup | undefined {
+export function takeSlot(
+  deps: SlotDeps,
+  { promptTokens, slackMs, isLate, ...needs }: SlotRequest,
+): ServingGroup | undefined {
   const { ctx, board, waiting, arrivals, daemons } = deps;
   const { model } = needs;
   const here = { waiting: waiting.count(model), perSecond: arrivals.rate(model) };
   const admission = board.admit(model, board.candidates(needs), { here, slackMs, isLate });
-  const open = listOpen(admission.groups, (head) => board.granted(head), promptTokens);
+  const open = listOpen(admission.groups, (head) => board.grantedSlots(head), promptTokens);
   const { zone } = ctx.settings;
   const random = (): number => ctx.random.next();
   const found =
--- a/src/app/gateway/allowances.ts
+++ b/src/app/gateway/throttle.ts
@@ -4,31 +4,31 @@
 import type { Rests } from '../../core/gateway/rests';
 import type { InstanceId } from '../../core/ids';
 import type { GatewayContext } from './context';
-import type { Limits } from './limits';
+import type { RateLimits } from './limits';
 
-export interface Allowances {
+export interface Throttle {
   /** Requests that may be sent to the server now; infinite where it said nothing of it. */
-  turns(server: InstanceId): number;
+  tokens(server: InstanceId): number;
   /** Takes a turn for a request that is being sent. */
-  take(server: InstanceId): void;
+  takeToken(server: InstanceId): void;
   /** Time until this daemon has a turn, milliseconds: 0 where it has one, infinite where it will have none. */
-  turnInMs(server: InstanceId): number;
+  msUntilToken(server: InstanceId): number;
   /** Time until the server takes a request that was refused here, from this daemon or another, milliseconds. */
-  takesInMs(server: InstanceId): number;
+  msUntilAccepted(server: InstanceId): number;
   /** Whether the server wants nothing from this daemon, also of what was chosen for it before. */
-  isResting(server: InstanceId): boolean;
+  isBackingOff(server: InstanceId): boolean;
   /** The server turned this daemon away and wants nothing from it for so long, milliseconds. */
-  noteRest(server: InstanceId, restMs: number): void;
+  noteBackoff(server: InstanceId, restMs: number): void;
   /** Whether turns have come for requests that wait. */
   tick(): boolean;
 }
 
 /** The least of the times; 0 where there is none, since no server's word stands in the way then. */
-export function leastOf(times: readonly number[]): number {
+export function minOrZero(times: readonly number[]): number {
   return times.length === 0 ? 0 : Math.min(...times);
 }
 
-export function createAllowances({ clock, logger }: GatewayContext, limits: Limits): Allowances {
+export function createThrottle({ clock, logger }: GatewayContext, limits: RateLimits): Throttle {
   let rests: Rests = new Map();
   /** Servers that rested when it was last looked. */
   let resting: ReadonlySet<InstanceId> = new Set();
@@ -42,14 +42,14 @@
   };
 
   return {
-    turns: (server) => (leftMs(server) > 0 ? 0 : limits.turns(server)),
-    take: (server) => {
-      limits.take(server);
+    tokens: (server) => (leftMs(server) > 0 ? 0 : limits.tokens(server)),
+    takeToken: (server) => {
+      limits.takeToken(server);
     },
-    turnInMs: (server) => Math.max(leftMs(server), limits.turnInMs(server)),
-    takesInMs: (server) => Math.max(leftMs(server), limits.takesInMs(server)),
-    isResting: (server) => leftMs(server) > 0,
-    noteRest: (server, restMs) => {
+    msUntilToken: (server) => Math.max(leftMs(server), limits.msUntilToken(server)),
+    msUntilAccepted: (server) => Math.max(leftMs(server), limits.msUntilAccepted(server)),
+    isBackingOff: (server) => leftMs(server) > 0,
+    noteBackoff: (server, restMs) => {
       const next = noteRest(rests, server, restMs, clock.now());
       if (next === rests) return;
       rests = next;
--- a/src/app/gateway/waiting.ts
+++ b/src/app/gateway/wait-queue.ts
@@ -3,8 +3,8 @@
 import { compareWaiting } from '../../core/gateway/waiting-order';
 import type { WaitingRequest } from '../../core/gateway/waiting-order';
 import type { ModelId, MonoTime } from '../../core/ids';
-import type { Board } from './board';
-import type { BoardGroup } from './directory';
+import type { GroupRegistry } from './board';
+import type { ServingGroup } from './directory';
 import type { GatewayContext } from './context';
 
 export interface Waiter extends WaitingRequest {
@@ -15,22 +15,22 @@
   /** Groups tried before are left out, so that there may be none though others find one. */
   readonly isRetry: boolean;
   /** Takes a place in a group, if one is free. */
-  readonly choose: () => BoardGroup | undefined;
+  readonly choose: () => ServingGroup | undefined;
 }
 
-export interface WaitingRoom {
+export interface WaitQueue {
   /** Undefined once the wait is over in vain. */
-  wait(waiter: Waiter): Promise<BoardGroup | undefined>;
+  wait(waiter: Waiter): Promise<ServingGroup | undefined>;
   waiting(): readonly (readonly [ModelId, number])[];
   /** Requests that wait for the model. */
   count(model: ModelId): number;
 }
 
 interface Entry extends Waiter {
-  readonly settle: (group: BoardGroup | undefined) => void;
+  readonly settle: (group: ServingGroup | undefined) => void;
 }
 
-export function createWaitingRoom(ctx: GatewayContext, board: Board): WaitingRoom {
+export function createWaitQueue(ctx: GatewayContext, board: GroupRegistry): WaitQueue {
   const entries = new Set<Entry>();
   const counts = new Map<ModelId, number>();
   let isServing = false;
@@ -62,9 +62,9 @@
     else counts.delete(model);
   };
 
-  const wait = (waiter: Waiter): Promise<BoardGroup | undefined> =>
+  const wait = (waiter: Waiter): Promise<ServingGroup | undefined> =>
     new Promise((resolve) => {
-      const settle = (group: BoardGroup | undefined): void => {
+      const settle = (group: ServingGroup | undefined): void => {
         if (!entries.delete(entry)) return;
         addCount(entry.model, -1);
         clearTimeout(timer);
--- a/src/app/gateway/watch.ts
+++ b/src/app/gateway/watch.ts
@@ -5,8 +5,8 @@
 import { judgePoll, longestCallMs, planPoll } from '../../core/gateway/polling';
 import { later } from '../../core/ids';
 import type { EpochTime, MonoTime } from '../../core/ids';
-import { isLater, latest, ORIGIN } from '../../core/store-era';
-import type { Position } from '../../core/store-era';
+import { isLater, latest, ORIGIN_POSITION } from '../../core/store-era';
+import type { StorePosition } from '../../core/store-era';
 import type { Change, Changes, Feed } from '../../ports/gateway';
 import { fail as makeError } from '../../utils/errors';
 import type { StepError } from '../../utils/errors';
@@ -14,7 +14,7 @@
 import type { GatewayContext } from './context';
 
 /** What changes are: `copy` is the whole collection of a store that came back from an older copy. */
-export type TakenAs = 'changes' | 'whole' | 'copy';
+export type ChangeKind = 'changes' | 'whole' | 'copy';
 
 export interface WatchOptions<T> {
   readonly feed: Feed<T>;
@@ -24,28 +24,28 @@
    * Until when a peer's word shows that what is known here is young enough. Meanwhile polls wait as long
    * as they like; without it each is over in time for another one.
    */
-  readonly trustUntil?: (now: MonoTime) => MonoTime;
+  readonly freshUntil?: (now: MonoTime) => MonoTime;
   /**
    * When to look again after a look that ended at `since`: changes come in groups, and each call has
    * its price. Asked again while the rest lasts, so that it may end early or go on. Without changes
    * the next poll follows at once, unless `restsAlways`.
    */
-  readonly restUntil?: (since: MonoTime) => MonoTime;
-  readonly restsAlways?: boolean;
+  readonly nextPollAt?: (since: MonoTime) => MonoTime;
+  readonly pausesWhenUnchanged?: boolean;
   /** Changes in the order of the store, or the whole collection. */
-  readonly take: (changes: readonly Change<T>[], kind: TakenAs) => void;
+  readonly apply: (changes: readonly Change<T>[], kind: ChangeKind) => void;
 }
 
 export interface Watch {
   /** Up to where in the store's history the collection is known. */
-  position(): Position;
+  position(): StorePosition;
   /** Time since the store last answered, milliseconds; since the start before the first answer. */
   ageMs(): number;
   /** The end of the last failure of the store; undefined where there was none. */
-  returnedAt(): MonoTime | undefined;
+  recoveredAt(): MonoTime | undefined;
   isFailing(): boolean;
   /** The collection is known up to there by another way. */
-  skipTo(position: Position): void;
+  skipTo(position: StorePosition): void;
   stop(): void;
 }
 
@@ -65,10 +65,10 @@
 const VOUCHED_RETRY_SHARE = 0.3;
 
 export function watchFeed<T>(ctx: GatewayContext, options: WatchOptions<T>): Watch {
-  const { feed, take, waitMs = () => DEFAULT_WAIT_MS, restsAlways = false } = options;
-  const { restUntil = (since: MonoTime) => later(since, DEFAULT_REST_MS) } = options;
-  const { trustUntil = (now: MonoTime) => now } = options;
-  let position = ORIGIN;
+  const { feed, apply: take, waitMs = () => DEFAULT_WAIT_MS, pausesWhenUnchanged: restsAlways = false } = options;
+  const { nextPollAt: restUntil = (since: MonoTime) => later(since, DEFAULT_REST_MS) } = options;
+  const { freshUntil: trustUntil = (now: MonoTime) => now } = options;
+  let position = ORIGIN_POSITION;
   /** The next call loads the whole collection. */
   let mustLoad = true;
   /** The store came back from an older copy since the last load. */
@@ -126,7 +126,7 @@
     const delay = Math.min(longestRetryMs(), FIRST_RETRY_MS * 2 ** Math.min(failures, 8));
     ctx.store.noteFailure(feed.name);
     await pause(delay * (0.5 + ctx.random.next() / 2));
-    await ctx.store.turn(feed.name, longestCallMs(ctx.tunables.value.settleMs));
+    await ctx.store.waitForRetry(feed.name, longestCallMs(ctx.tunables.value.settleMs));
   };
 
   const rest = async (): Promise<void> => {
@@ -189,7 +189,7 @@
     cancel.abort('era');
   };
   const eras = ctx.store.eras.subscribe(({ era }) => {
-    if (isLater(position, ORIGIN) && position.era < era) loadAnew();
+    if (isLater(position, ORIGIN_POSITION) && position.era < era) loadAnew();
   });
 
   const run = async (): Promise<void> => {
@@ -203,7 +203,7 @@
   return {
     position: () => position,
     ageMs,
-    returnedAt: () => returnedAt,
+    recoveredAt: () => returnedAt,
     isFailing: () => failures > 0,
     skipTo: (known) => {
       if (!mustLoad && known.era === position.era) position = latest(position, known);
@@ -221,9 +221,9 @@
 }
 
 /** Whether the store was away at some time since `ms` milliseconds ago. */
-export function wasAway(watch: Watch, now: MonoTime, ms: number): boolean {
+export function hasFailedWithin(watch: Watch, now: MonoTime, ms: number): boolean {
   if (watch.isFailing()) return true;
-  const returned = watch.returnedAt();
+  const returned = watch.recoveredAt();
   return returned !== undefined && now < later(returned, ms);
 }
 
--- a/src/app/gateway/work-log.ts
+++ b/src/app/gateway/work-log.ts
@@ -5,7 +5,7 @@
 import type { BackendServer } from '../../core/gateway/types';
 import { brandAs, later } from '../../core/ids';
 import type { InstanceId, ModelId, MonoTime } from '../../core/ids';
-import type { Board } from './board';
+import type { GroupRegistry } from './board';
 import type { GatewayContext } from './context';
 import { sumLoads } from './loads';
 import type { PeerState } from './messages';
@@ -27,7 +27,7 @@
 
 export function createWorkLog(
   { clock, logger }: GatewayContext,
-  board: Board,
+  board: GroupRegistry,
   servers: ReadonlyMap<InstanceId, BackendServer>,
 ): WorkLog {
   let dueAt = clock.now();
--- a/src/app/listen.ts
+++ b/src/app/listen.ts
@@ -17,12 +17,12 @@
 }
 
 /** A server that listens. */
-export interface Listening {
+export interface HttpListener {
   readonly address: string;
   /** Takes no new connection; resolves once those open have ended. */
   close(): Promise<void>;
   /** Destroys the connections still open. */
-  cut(): void;
+  destroyConnections(): void;
 }
 
 const DEFAULT_MAX_HEADER_BYTES = 16 * 1024;
@@ -35,7 +35,7 @@
 }
 
 /** Starts a server. */
-export function listen(opts: ListenOptions): Promise<Listening> {
+export function listen(opts: ListenOptions): Promise<HttpListener> {
   const server = createServer(
     {
       maxHeaderSize: opts.maxHeaderBytes ?? DEFAULT_MAX_HEADER_BYTES,
@@ -62,7 +62,7 @@
             });
             server.closeIdleConnections();
           }),
-        cut: () => {
+        destroyConnections: () => {
           server.closeAllConnections();
         },
       });
--- a/src/app/membership/membership.ts
+++ b/src/app/membership/membership.ts
@@ -35,7 +35,7 @@
 import type { Clock, Logger, Random } from '../../ports/runtime';
 import { compareText } from '../../utils/common';
 import type {
-  Direct,
+  DirectMessaging,
   DirectMessage,
   Gossip,
   GossipEntry,
@@ -162,7 +162,7 @@
     },
   };
 
-  const direct: Direct = {
+  const direct: DirectMessaging = {
     send: (to, topic, value) => {
       const member = state.members.get(to);
       if (!member || to === self.id) return false;
--- a/src/app/parts.ts
+++ b/src/app/parts.ts
@@ -98,7 +98,7 @@
 }
 
 /** Messages between two daemons: at most once, lost when there is no link. */
-export interface Direct {
+export interface DirectMessaging {
   /** False when the message was dropped at once. */
   send(to: DaemonId, topic: string, value: Json): boolean;
   readonly received: Observable<DirectMessage>;
@@ -106,7 +106,7 @@
 
 export interface MembershipPart extends Part, MembershipView {
   readonly gossip: Gossip;
-  readonly direct: Direct;
+  readonly direct: DirectMessaging;
   /** Tells all that this daemon is leaving, so that its roles move at once; `stop` does it as well. */
   leave(): void;
 }
--- a/src/app/requests/abort.ts
+++ b/src/app/requests/abort.ts
@@ -7,7 +7,7 @@
 export interface AttemptAbort {
   readonly controller: AbortController;
   /** From now on the deadline no longer ends the attempt. */
-  readonly liftDeadline: () => void;
+  readonly clearDeadline: () => void;
   /** To be called when the attempt is over. */
   readonly release: () => void;
 }
@@ -38,5 +38,5 @@
     liftDeadline();
     gone.removeEventListener('abort', onGone);
   };
-  return { controller, liftDeadline, release };
+  return { controller, clearDeadline: liftDeadline, release };
 }
--- a/src/app/requests/gate.ts
+++ b/src/app/requests/admission-gate.ts
@@ -8,7 +8,7 @@
   release,
   setCapacity,
 } from '../../core/admission/admission';
-import type { AdmissionRequest, RefusalCode, Refused, Settled } from '../../core/admission/types';
+import type { AdmissionRequest, RefusalCode, Refused, QueueUpdate } from '../../core/admission/types';
 import type { EpochTime, ModelId, MonoTime, RequestId } from '../../core/ids';
 import { later } from '../../core/ids';
 import type { Clock, Random } from '../../ports/runtime';
@@ -38,7 +38,7 @@
   | { readonly kind: 'admitted' }
   | { readonly kind: 'refused'; readonly error: StepError; readonly retryAt: EpochTime };
 
-export interface Gate {
+export interface AdmissionGate {
   /** Resolves at once unless the call has to wait for a slot. */
   enter(req: GateRequest): Promise<GateVerdict>;
   /** To be called when an admitted call is over; gives its slot to the next. */
@@ -54,7 +54,7 @@
 /** How often the capacity that waiting calls need is looked at. */
 const LOOK_MS = 25;
 
-export function createGate(clock: Clock, random: Random): Gate {
+export function createAdmissionGate(clock: Clock, random: Random): AdmissionGate {
   const state = createAdmission();
   const waiting = new Map<RequestId, (verdict: GateVerdict) => void>();
   /** Targets that some call may wait for. */
@@ -89,7 +89,7 @@
     ).unref();
   };
 
-  const apply = ({ admitted, refused }: Pick<Settled, 'admitted' | 'refused'>): void => {
+  const apply = ({ admitted, refused }: Pick<QueueUpdate, 'admitted' | 'refused'>): void => {
     admitted.forEach((id) => {
       settle(id, { kind: 'admitted' });
     });
--- a/src/app/requests/admit.ts
+++ b/src/app/requests/admit.ts
@@ -4,11 +4,11 @@
 import { runAtMostOnce } from './at-most-once';
 import type { RequestContext } from './context';
 import type { RequestParts } from './request-parts';
-import { refused } from './ending';
+import { refusedEnding } from './ending';
 import type { Ending } from './ending';
 import type { Call } from './exchange';
 import type { GateRequest } from './gate';
-import { OPEN_GUARD } from './guard';
+import { NOOP_GUARD } from './guard';
 import { METRIC } from './names';
 
 /** A call that is ready to be admitted. */
@@ -26,7 +26,7 @@
   { honoursKey, run }: ReadyCall,
 ): Promise<Ending> {
   const { repeatable, idempotencyKey } = call.terms;
-  if (repeatable || idempotencyKey === undefined) return run(OPEN_GUARD);
+  if (repeatable || idempotencyKey === undefined) return run(NOOP_GUARD);
   return runAtMostOnce(ctx, parts.claims, call, idempotencyKey, run, { honoursKey });
 }
 
@@ -43,7 +43,7 @@
   const labels = { target, class: call.caller.class.name };
   ctx.metrics.observe(METRIC.queueing, ctx.clock.now() - enteredAt, labels);
   span.end(verdict.kind === 'refused' ? verdict.error.code : undefined);
-  if (verdict.kind === 'refused') return refused(verdict.error, verdict.retryAt);
+  if (verdict.kind === 'refused') return refusedEnding(verdict.error, verdict.retryAt);
   try {
     return await runOnceIfAsked(ctx, parts, call, ready);
   } finally {
--- a/src/app/requests/at-most-once.ts
+++ b/src/app/requests/at-most-once.ts
@@ -8,11 +8,11 @@
 import type { Claim, ClaimVerdict, Claims } from './claims';
 import { bodyHashOf } from './claims';
 import type { RequestContext } from './context';
-import { ended, refused } from './ending';
+import { failedEnding, refusedEnding } from './ending';
 import type { Ending } from './ending';
 import type { Call } from './exchange';
 import type { SendGuard } from './guard';
-import { OPEN_GUARD } from './guard';
+import { NOOP_GUARD } from './guard';
 import { pause } from './pause';
 import { replayAnswer, storeAnswer } from './stored';
 
@@ -34,12 +34,12 @@
 
 function refuseNotHeld(ctx: RequestContext, { reason }: NotHeld): Ending {
   const message = `the claim on the key could not be had: ${reason}`;
-  return refused(fail(NOT_HELD_CODES[reason], message, { step: 'claim' }), comeBack(ctx));
+  return refusedEnding(fail(NOT_HELD_CODES[reason], message, { step: 'claim' }), comeBack(ctx));
 }
 
 function keyReused(): Ending {
   const message = 'the key was used for another request';
-  return refused(fail('key-reused', message, { step: 'claim' }));
+  return refusedEnding(fail('key-reused', message, { step: 'claim' }));
 }
 
 /** The key's request is under way, or its fate is not known: this one must not run. */
@@ -49,7 +49,7 @@
     ? 'the request with this key is under way'
     : 'the request with this key was sent, and no answer is known';
   const error = fail('in-progress', message, { step: 'claim', peer: row.holder });
-  return ended({ error, exposure: 'exposed', retryAt: isUnderWay ? comeBack(ctx) : undefined });
+  return failedEnding({ error, exposure: 'exposed', retryAt: isUnderWay ? comeBack(ctx) : undefined });
 }
 
 function answerExisting(ctx: RequestContext, call: Call, row: ClaimRow): Promise<Ending> {
@@ -61,13 +61,13 @@
 /** Records how the call ended. An answer waits for its record, but not for long. */
 async function record(ctx: RequestContext, claim: Claim, ending: Ending): Promise<void> {
   if (ending.kind === 'failed') {
-    claim.giveUp();
+    claim.abort();
     return;
   }
   const recorded = storeAnswer(ctx, claim.objectKey, ending).then((answer) =>
-    claim.answered(answer),
+    claim.recordAnswer(answer),
   );
-  await Promise.race([recorded, pause(ctx.settings.recordWaitMs)]);
+  await Promise.race([recorded, pause(ctx.settings.recordTimeoutMs)]);
 }
 
 async function runClaimed(ctx: RequestContext, claim: Claim, run: GuardedRun): Promise<Ending> {
@@ -91,13 +91,13 @@
   { honoursKey }: AtMostOnceOptions,
 ): Promise<Ending> {
   const span = call.exchange.span.child('claim');
-  const verdict = await claims.take(call, key);
+  const verdict = await claims.acquire(call, key);
   span.set('verdict', verdict.kind);
   span.end();
   if (verdict.kind === 'held') return runClaimed(ctx, verdict.claim, run);
   if (verdict.kind === 'not-held')
-    return honoursKey ? run(OPEN_GUARD) : refuseNotHeld(ctx, verdict);
+    return honoursKey ? run(NOOP_GUARD) : refuseNotHeld(ctx, verdict);
   const isLost = verdict.row.state !== 'finished' && verdict.row.bodyHash === bodyHashOf(call);
-  if (honoursKey && isLost) return run(OPEN_GUARD);
+  if (honoursKey && isLost) return run(NOOP_GUARD);
   return answerExisting(ctx, call, verdict.row);
 }
--- a/src/app/requests/attempts.ts
+++ b/src/app/requests/attempts.ts
@@ -4,12 +4,12 @@
 import { brandAs } from '../../core/ids';
 import { combineExposure } from '../../core/outcome';
 import type { Exposure } from '../../core/outcome';
-import { EXPOSURE_OF, decideRetry } from '../../core/retry/decide';
+import { EXPOSURE_BY_FAILURE, decideRetry } from '../../core/retry/decide';
 import type { AttemptFailure, RetryDecision } from '../../core/retry/decide';
 import type { StepError } from '../../utils/errors';
 import type { RequestContext } from './context';
 import type { DoneEnding, Ending, Failure } from './ending';
-import { ended } from './ending';
+import { failedEnding } from './ending';
 import type { Call } from './exchange';
 import type { SendGuard } from './guard';
 import { METRIC } from './names';
@@ -37,7 +37,7 @@
   error: StepError,
   started = false,
 ): AttemptFailed {
-  return { kind: 'failed', failure, error, exposure: EXPOSURE_OF[failure], started };
+  return { kind: 'failed', failure, error, exposure: EXPOSURE_BY_FAILURE[failure], started };
 }
 
 /** How one kind of call is sent. */
@@ -47,12 +47,12 @@
   readonly repeatable: boolean;
   readonly guard: SendGuard;
   /** The next place to send to, or why there is none. */
-  readonly pick: (tried: ReadonlySet<string>) => Picked<T>;
+  readonly pick: (tried: ReadonlySet<string>) => Selection<T>;
   readonly attempt: (place: T, id: AttemptId) => Promise<AttemptResult>;
 }
 
-export type Picked<T> =
-  | { readonly kind: 'place'; readonly key: string; readonly place: T }
+export type Selection<T> =
+  | { readonly kind: 'place'; readonly key: string; readonly destination: T }
   | { readonly kind: 'none'; readonly failure: Failure };
 
 function decide<T>(
@@ -71,7 +71,7 @@
     {
       now: ctx.clock.now(),
       chance: ctx.random.next(),
-      withdraw: () => ctx.budgets.takeOut(plan.target),
+      withdraw: () => ctx.retryBudgets.tryWithdraw(plan.target),
     },
   );
 }
@@ -93,7 +93,7 @@
 
 /** The failure of the whole submission: its last error, and the exposure of all attempts. */
 function summarise(progress: Progress, failure: Failure): Ending {
-  return ended({
+  return failedEnding({
     error: failure.error,
     exposure: combineExposure(progress.exposure, failure.exposure),
     retryAt: failure.retryAt,
@@ -119,7 +119,7 @@
   call: Call,
   plan: AttemptPlan<T>,
 ): Promise<Ending> {
-  ctx.budgets.payIn(plan.target);
+  ctx.retryBudgets.deposit(plan.target);
   let progress = NOTHING_TRIED;
   for (;;) {
     const picked = plan.pick(progress.tried);
@@ -131,7 +131,7 @@
     }
     const id = brandAs<AttemptId>(`${call.exchange.id}.${progress.attempts + 1}`);
     ctx.metrics.count(METRIC.attempts, { target: plan.target });
-    const result = await plan.attempt(picked.place, id);
+    const result = await plan.attempt(picked.destination, id);
     if (result.kind === 'done') return result.ending;
     plan.guard.onFailed(result.failure);
     const decision = decide(ctx, call, plan, progress.attempts + 1, result);
--- a/src/app/requests/backends.ts
+++ b/src/app/requests/backends.ts
@@ -12,9 +12,9 @@
   /** The backend server with fewest calls in flight; undefined if none has room. */
   pick(spec: ServiceSpec, tried: ReadonlySet<string>): string | undefined;
   /** Counts a call in flight; the function it gives ends it. */
-  take(address: string): () => void;
+  acquire(address: string): () => void;
   /** Could not be reached just now. */
-  avoid(address: string): void;
+  markUnreachable(address: string): void;
 }
 
 export function createBackends(clock: Clock, random: Random): Backends {
@@ -43,13 +43,13 @@
       const reachable = open.filter((address) => !isAvoided(address));
       return leastLoaded(reachable.length > 0 ? reachable : open);
     },
-    take: (address) => {
+    acquire: (address) => {
       change(address, 1);
       return () => {
         change(address, -1);
       };
     },
-    avoid: (address) => {
+    markUnreachable: (address) => {
       avoided.set(address, later(clock.now(), AVOID_MS));
     },
   };
--- a/src/app/requests/whole.ts
+++ b/src/app/requests/buffered-answer.ts
@@ -2,7 +2,7 @@
 
 import { isRecord } from '../../utils/is';
 
-export type WholeFault = 'not-json' | 'no-choices' | 'wrong-index' | 'no-finish-reason';
+export type AnswerFault = 'not-json' | 'no-choices' | 'wrong-index' | 'no-finish-reason';
 
 function parse(body: Buffer): unknown {
   try {
@@ -12,13 +12,13 @@
   }
 }
 
-function choiceFault(choice: unknown, index: number): WholeFault | undefined {
+function choiceFault(choice: unknown, index: number): AnswerFault | undefined {
   if (!isRecord(choice) || choice.index !== index) return 'wrong-index';
   return typeof choice.finish_reason === 'string' ? undefined : 'no-finish-reason';
 }
 
 /** The first reason why `body` is not a whole answer of an OpenAI-style call. */
-export function checkWholeAnswer(body: Buffer): WholeFault | undefined {
+export function checkBufferedAnswer(body: Buffer): AnswerFault | undefined {
   const answer = parse(body);
   if (!isRecord(answer)) return 'not-json';
   const choices: unknown = answer.choices;
--- a/src/app/requests/terms.ts
+++ b/src/app/requests/call-options.ts
@@ -10,7 +10,7 @@
 import { hashKey } from '../../utils/common';
 import type { StepError } from '../../utils/errors';
 import { fail } from '../../utils/errors';
-import type { CallTerms, Caller } from './exchange';
+import type { CallOptions, Caller } from './exchange';
 import { HEADER } from './names';
 
 const BEARER = /^Bearer +(\S+) *$/i;
@@ -28,7 +28,7 @@
 }
 
 /** Errors: `unauthorized`, `forbidden` (not a caller's key). */
-export function findCaller(
+export function authenticate(
   config: Config,
   authorization: string | undefined,
 ): Result<Caller, StepError> {
@@ -78,7 +78,7 @@
 }
 
 /** What the defaults depend on. */
-export interface TermDefaults {
+export interface CallOptionDefaults {
   readonly repeatable: boolean;
   readonly deadlineMs: number;
   readonly now: MonoTime;
@@ -86,10 +86,10 @@
 }
 
 /** Errors: `bad-request`. */
-export function readTerms(
+export function readCallOptions(
   headers: IncomingHttpHeaders,
-  defaults: TermDefaults,
-): Result<CallTerms, StepError> {
+  defaults: CallOptionDefaults,
+): Result<CallOptions, StepError> {
   const { now, epoch } = defaults;
   const byDefault = later(epoch, defaults.deadlineMs);
   const deadline = readDeadline(single(headers, HEADER.deadline), byDefault);
--- a/src/app/requests/claim-rows.ts
+++ b/src/app/requests/claim-rows.ts
@@ -2,7 +2,7 @@
 
 import * as z from 'zod';
 
-import type { ClaimRow, SeenRow } from '../../core/ledger/rows';
+import type { ClaimRow, VersionedRow } from '../../core/ledger/rows';
 import type { Row } from '../../ports/platform';
 
 const body = z.discriminatedUnion('kind', [
@@ -40,7 +40,7 @@
 }
 
 /** The row as it was read; `undefined` if it is there and not understood. */
-export function readSeenRow(row: Row | undefined): SeenRow | undefined {
+export function readSeenRow(row: Row | undefined): VersionedRow | undefined {
   if (row === undefined) return { version: 0, row: undefined };
   const claim = readClaimRow(row);
   return claim === undefined ? undefined : { version: row.version, row: claim };
--- a/src/app/requests/claim-writer.ts
+++ b/src/app/requests/claim-writer.ts
@@ -6,8 +6,8 @@
 
 import type { Result } from 'neverthrow';
 
-import type { CommitBucket, CommitShare } from '../../core/ledger/rate';
-import { expectedWaitMs, shareOf, takeCommit } from '../../core/ledger/rate';
+import type { CommitBucket, CommitRate } from '../../core/ledger/rate';
+import { expectedWaitMs, commitRateOf, takeCommit } from '../../core/ledger/rate';
 import type { Json } from '../../core/json';
 import { later } from '../../core/ids';
 import type { MonoTime } from '../../core/ids';
@@ -35,7 +35,7 @@
   readonly value?: Json;
 }
 
-export interface WriterOptions {
+export interface ClaimWriterOptions {
   readonly table: Table;
   readonly clock: Clock;
   readonly metrics: Metrics;
@@ -43,10 +43,10 @@
   readonly daemons: () => number;
   readonly commitsPerSecond: number;
   readonly claimShare: number;
-  readonly batch: number;
-  readonly gatherMs: number;
+  readonly maxBatch: number;
+  readonly lingerMs: number;
   /** Longest wait in the queue, milliseconds. */
-  readonly waitMs: number;
+  readonly queueTimeoutMs: number;
 }
 
 export interface ClaimWriter {
@@ -105,13 +105,13 @@
   return group.filter(fits);
 }
 
-export function createClaimWriter(opts: WriterOptions): ClaimWriter {
-  const { table, clock, metrics, batch } = opts;
+export function createClaimWriter(opts: ClaimWriterOptions): ClaimWriter {
+  const { table, clock, metrics, maxBatch: batch } = opts;
   let queue: Queued[] = [];
   let isRunning = false;
   let bucket: CommitBucket = { tokens: 1, at: clock.now() };
 
-  const share = (): CommitShare => shareOf(opts.commitsPerSecond, opts.claimShare, opts.daemons());
+  const share = (): CommitRate => commitRateOf(opts.commitsPerSecond, opts.claimShare, opts.daemons());
 
   /** The next group: no key twice, none that waited too long. */
   const takeGroup = (): readonly Queued[] => {
@@ -166,7 +166,7 @@
 
   const run = async (): Promise<void> => {
     isRunning = true;
-    await pause(opts.gatherMs);
+    await pause(opts.lingerMs);
     while (queue.length > 0) await runGroup();
     isRunning = false;
   };
@@ -174,10 +174,10 @@
   return {
     write: (write) =>
       new Promise((resolve) => {
-        queue.push({ write, until: later(clock.now(), opts.waitMs), settle: resolve });
+        queue.push({ write, until: later(clock.now(), opts.queueTimeoutMs), settle: resolve });
         if (!isRunning) void run();
       }),
     isOverloaded: () =>
-      expectedWaitMs(bucket, share(), queue.length, batch, clock.now()) > opts.waitMs,
+      expectedWaitMs(bucket, share(), queue.length, batch, clock.now()) > opts.queueTimeoutMs,
   };
 }
--- a/src/app/requests/claims.ts
+++ b/src/app/requests/claims.ts
@@ -35,9 +35,9 @@
   /** Where a large answer is to be stored. */
   readonly objectKey: string;
   /** Resolves when the record is written, or could not be for now. */
-  answered(answer: StoredAnswer): Promise<void>;
+  recordAnswer(answer: StoredAnswer): Promise<void>;
   /** Nothing more will be sent; the row is settled in the background. */
-  giveUp(): void;
+  abort(): void;
 }
 
 /** Failures after which nothing has run. */
@@ -141,11 +141,11 @@
       if (NOT_RUN.has(failure)) run.dispatch({ kind: 'refused' });
     },
     capture: () => createCapture(ctx.settings.maxAnswerBytes),
-    answered: (answer) => {
+    recordAnswer: (answer) => {
       run.dispatch({ kind: 'answered', answer });
       return closed;
     },
-    giveUp: () => {
+    abort: () => {
       run.dispatch({ kind: 'give-up' });
     },
   };
@@ -154,7 +154,7 @@
 /** Claims of this daemon. */
 export interface Claims {
   /** Asks for the claim on a key. Resolves with a verdict as soon as there is one. */
-  take(call: Call, key: string): Promise<ClaimVerdict>;
+  acquire(call: Call, key: string): Promise<ClaimVerdict>;
   /** Resolves when no claim has a write under way. */
   settled(): Promise<void>;
 }
@@ -185,7 +185,7 @@
       },
       onClosed,
     };
-    const waitMs = Math.min(ctx.settings.claimWaitMs, call.terms.deadline - ctx.clock.now());
+    const waitMs = Math.min(ctx.settings.claimTimeoutMs, call.terms.deadline - ctx.clock.now());
     const timer = setTimeout(() => run.dispatch({ kind: 'give-up' }), waitMs);
     open.add(closed);
     void closed.then(() => open.delete(closed));
@@ -193,7 +193,7 @@
   };
 
   return {
-    take: (call, key) =>
+    acquire: (call, key) =>
       new Promise((resolve) => {
         const conclude = (verdict: ClaimVerdict): void => {
           ctx.metrics.count(METRIC.claims, { verdict: verdict.kind });
--- a/src/app/requests/context.ts
+++ b/src/app/requests/context.ts
@@ -1,7 +1,7 @@
 /** What the modules of the request plane share. */
 
 import type { RetryBudget } from '../../core/retry/budget';
-import { createBudget, payIn, takeOut } from '../../core/retry/budget';
+import { createBudget, deposit, tryWithdraw } from '../../core/retry/budget';
 import type { DaemonId } from '../../core/ids';
 import type { Upstream } from '../../adapters/upstream/upstream';
 import type { ObjectStore, Table } from '../../ports/platform';
@@ -24,33 +24,33 @@
   readonly metrics: Metrics;
   readonly tracer: Tracer;
   /** Daemons alive, this one included; for shares of common limits. */
-  readonly peerCount?: () => number;
+  readonly daemonCount?: () => number;
   readonly settings?: Partial<RequestSettings>;
 }
 
 /** Retry budgets by model or service. */
-export interface Budgets {
-  payIn(target: string): void;
+export interface RetryBudgets {
+  deposit(target: string): void;
   /** False if no further attempt is left. */
-  takeOut(target: string): boolean;
+  tryWithdraw(target: string): boolean;
 }
 
 export interface RequestContext extends Omit<RequestDeps, 'settings'> {
   readonly settings: RequestSettings;
   readonly upstream: Upstream;
-  readonly budgets: Budgets;
+  readonly retryBudgets: RetryBudgets;
 }
 
-export function createBudgets(settings: RequestSettings): Budgets {
+export function createRetryBudgets(settings: RequestSettings): RetryBudgets {
   const budgets = new Map<string, RetryBudget>();
   const budgetOf = (target: string): RetryBudget =>
-    budgets.get(target) ?? createBudget({ share: settings.retryShare, burst: settings.retryBurst });
+    budgets.get(target) ?? createBudget({ share: settings.retryRatio, burst: settings.retryBurst });
   return {
-    payIn: (target) => {
-      budgets.set(target, payIn(budgetOf(target)));
+    deposit: (target) => {
+      budgets.set(target, deposit(budgetOf(target)));
     },
-    takeOut: (target) => {
-      const left = takeOut(budgetOf(target));
+    tryWithdraw: (target) => {
+      const left = tryWithdraw(budgetOf(target));
       if (left !== undefined) budgets.set(target, left);
       return left !== undefined;
     },
--- a/src/app/requests/ending.ts
+++ b/src/app/requests/ending.ts
@@ -1,6 +1,6 @@
 /**
  * How a request ends. Every path through the request plane returns an {@link Ending}; `reply.ts`
- * alone turns one into bytes. `not-run` can be had only from {@link ended}, which derives it from
+ * alone turns one into bytes. `not-run` can be had only from {@link failedEnding}, which derives it from
  * what backend servers may have seen.
  */
 
@@ -12,7 +12,7 @@
 import type { StepError } from '../../utils/errors';
 
 /** An answer held whole. */
-export interface WholeAnswer {
+export interface BufferedAnswer {
   readonly kind: 'whole';
   readonly status: number;
   readonly headers: OutgoingHttpHeaders;
@@ -30,7 +30,7 @@
 
 export interface DoneEnding {
   readonly kind: 'done';
-  readonly answer: WholeAnswer | StreamEnd;
+  readonly answer: BufferedAnswer | StreamEnd;
 }
 
 export interface FailedEnding {
@@ -48,16 +48,16 @@
   readonly retryAt?: EpochTime | undefined;
 }
 
-export function done(answer: WholeAnswer | StreamEnd): DoneEnding {
+export function doneEnding(answer: BufferedAnswer | StreamEnd): DoneEnding {
   return { kind: 'done', answer };
 }
 
-export function ended(failure: Failure): FailedEnding {
+export function failedEnding(failure: Failure): FailedEnding {
   const outcome = outcomeWithoutAnswer(failure.exposure, failure.retryAt);
   return { kind: 'failed', outcome, error: failure.error };
 }
 
 /** An ending before anything was sent. */
-export function refused(error: StepError, retryAt?: EpochTime): FailedEnding {
-  return ended({ error, exposure: 'none', retryAt });
+export function refusedEnding(error: StepError, retryAt?: EpochTime): FailedEnding {
+  return failedEnding({ error, exposure: 'none', retryAt });
 }
--- a/src/app/requests/entry.ts
+++ b/src/app/requests/entry.ts
@@ -13,7 +13,7 @@
 import { readBody } from './body';
 import type { RequestContext } from './context';
 import type { RequestParts } from './request-parts';
-import { done, ended, refused } from './ending';
+import { doneEnding, failedEnding, refusedEnding } from './ending';
 import type { Ending } from './ending';
 import type { Call, Caller, Exchange } from './exchange';
 import { readModelBody, MODEL_PATHS } from './model-body';
@@ -31,35 +31,35 @@
 import type { ServiceCall } from './service-call';
 import { isRepeatable, readServicePath } from './service-path';
 import type { ServicePath } from './service-path';
-import { findCaller, readTerms } from './terms';
+import { authenticate, readCallOptions } from './terms';
 
 /** First guess at the time of a call to a plain service, milliseconds. */
 const SERVICE_ESTIMATE_MS = 50;
 
-export interface Entry {
+export interface RequestPlane {
   readonly ctx: RequestContext;
   readonly parts: RequestParts;
 }
 
-type Route = (entry: Entry, exchange: Exchange, caller: Caller) => Promise<Ending>;
+type Route = (entry: RequestPlane, exchange: Exchange, caller: Caller) => Promise<Ending>;
 
 function pathOf(req: IncomingMessage): string {
   return (req.url ?? '/').split('?', 1)[0] ?? '/';
 }
 
 function notFound(): Ending {
-  return refused(fail('not-found', 'no such address', { step: 'entry' }));
+  return refusedEnding(fail('not-found', 'no such address', { step: 'entry' }));
 }
 
 /** Reads terms and body; both must be right before anything is done. */
 async function readCall(
-  { ctx }: Entry,
+  { ctx }: RequestPlane,
   exchange: Exchange,
   caller: Caller,
   path: string,
   repeatable: boolean,
 ): Promise<Result<Call, StepError>> {
-  const terms = readTerms(exchange.req.headers, {
+  const terms = readCallOptions(exchange.req.headers, {
     repeatable,
     deadlineMs: caller.class.deadlineMs,
     now: exchange.arrivedAt,
@@ -81,23 +81,23 @@
   return ok({ exchange, caller, terms: terms.value, method, path, body: body.value });
 }
 
-async function routeModel(entry: Entry, exchange: Exchange, caller: Caller): Promise<Ending> {
+async function routeModel(entry: RequestPlane, exchange: Exchange, caller: Caller): Promise<Ending> {
   const path = pathOf(exchange.req) as ModelPath;
   const call = await readCall(entry, exchange, caller, path, true);
-  if (call.isErr()) return refused(call.error);
+  if (call.isErr()) return refusedEnding(call.error);
   const body = readModelBody(path, call.value.body);
-  if (body.isErr()) return refused(body.error);
+  if (body.isErr()) return refusedEnding(body.error);
   const { ctx, parts } = entry;
   if (body.value.stream && exchange.req.httpVersion === '1.0') {
     const message = 'a stream needs HTTP/1.1: nothing else tells its end from a break';
-    return refused(fail('bad-request', message, { step: 'entry' }));
+    return refusedEnding(fail('bad-request', message, { step: 'entry' }));
   }
   if (!hasModel(ctx, call.value, body.value.model)) {
-    return refused(fail('model-not-found', 'no such model', { step: 'entry' }));
+    return refusedEnding(fail('model-not-found', 'no such model', { step: 'entry' }));
   }
   const model = createModelCall(call.value, body.value);
   const quarantined = quarantineFailure(parts, model);
-  if (quarantined !== undefined) return ended(quarantined);
+  if (quarantined !== undefined) return failedEnding(quarantined);
   return admitAndRun(ctx, parts, {
     call: model,
     target: model.model,
@@ -109,17 +109,17 @@
 }
 
 /** The models of the caller's organisation. */
-function routeModels({ ctx }: Entry, _exchange: Exchange, caller: Caller): Promise<Ending> {
+function routeModels({ ctx }: RequestPlane, _exchange: Exchange, caller: Caller): Promise<Ending> {
   const known = ctx.config.current().models;
   const ids = Object.keys(caller.organisation.replicas).filter((id) => Object.hasOwn(known, id));
   const data = ids.map((id) => ({ id, object: 'model', created: 0, owned_by: 'nutmegstack' }));
   const body = Buffer.from(JSON.stringify({ object: 'list', data }));
   const headers = { 'content-type': 'application/json' };
-  return Promise.resolve(done({ kind: 'whole', status: 200, headers, body }));
+  return Promise.resolve(doneEnding({ kind: 'whole', status: 200, headers, body }));
 }
 
 async function routeService(
-  entry: Entry,
+  entry: RequestPlane,
   exchange: Exchange,
   caller: Caller,
   place: ServicePath,
@@ -131,7 +131,7 @@
   const repeatable = isRepeatable(spec, exchange.req.method ?? 'GET', place.path);
   const path = place.path + place.query;
   const call = await readCall(entry, exchange, caller, path, repeatable);
-  if (call.isErr()) return refused(call.error);
+  if (call.isErr()) return refusedEnding(call.error);
   const { ctx, parts } = entry;
   const found: ServiceCall = { ...call.value, spec };
   return admitAndRun(ctx, parts, {
@@ -190,22 +190,22 @@
 }
 
 /** Answers a request, whatever it is. Never rejects. */
-export async function answer(entry: Entry, exchange: Exchange): Promise<Ending> {
+export async function answer(entry: RequestPlane, exchange: Exchange): Promise<Ending> {
   const { ctx } = entry;
   try {
-    const caller = findCaller(ctx.config.current(), exchange.req.headers.authorization);
-    if (caller.isErr()) return refused(caller.error);
+    const caller = authenticate(ctx.config.current(), exchange.req.headers.authorization);
+    if (caller.isErr()) return refusedEnding(caller.error);
     const route = findRoute(exchange.req);
-    if (route.isErr()) return refused(route.error);
+    if (route.isErr()) return refusedEnding(route.error);
     return await route.value(entry, exchange, caller.value);
   } catch (cause) {
     const error = fail('internal', 'unexpected error', { step: 'entry', cause });
-    return ended({ error, exposure: 'exposed' });
+    return failedEnding({ error, exposure: 'exposed' });
   }
 }
 
 /** The ending of a request that comes while the daemon is leaving. */
 export function refuseDraining(ctx: RequestContext): Ending {
   const error = fail('draining', 'this daemon is leaving', { step: 'entry' });
-  return refused(error, later(ctx.clock.epoch(), ctx.settings.retryAfterMs));
+  return refusedEnding(error, later(ctx.clock.epoch(), ctx.settings.retryAfterMs));
 }
--- a/src/app/requests/exchange.ts
+++ b/src/app/requests/exchange.ts
@@ -24,7 +24,7 @@
 }
 
 /** What the caller asks of the system itself, by headers or by default. */
-export interface CallTerms {
+export interface CallOptions {
   /** By when the answer matters; on this process's clock and on the wire. */
   readonly deadline: MonoTime;
   readonly deadlineAt: EpochTime;
@@ -36,7 +36,7 @@
 export interface Call {
   readonly exchange: Exchange;
   readonly caller: Caller;
-  readonly terms: CallTerms;
+  readonly terms: CallOptions;
   readonly method: string;
   /** Path and query below the service, or of the model call. */
   readonly path: string;
--- a/src/app/requests/group-choice.ts
+++ b/src/app/requests/group-selector.ts
@@ -19,7 +19,7 @@
 const LOAD = /^(\d+)\/(\d+)\/\d+$/;
 
 /** What the choice depends on. */
-export interface ChoiceRequest {
+export interface GroupQuery {
   readonly groups: readonly RoutableGroup[];
   readonly tried: ReadonlySet<string>;
   readonly prefixKeys: readonly string[];
@@ -27,13 +27,13 @@
 }
 
 /** What is kept of a request that was sent. */
-export interface SentRequest extends Pick<ChoiceRequest, 'prefixKeys' | 'organisation'> {
+export interface SentRequest extends Pick<GroupQuery, 'prefixKeys' | 'organisation'> {
   /** Only the first token of a stream tells how fast a group begins. */
   readonly streams: boolean;
 }
 
-export interface GroupChoice {
-  choose(req: ChoiceRequest): RoutableGroup | undefined;
+export interface GroupSelector {
+  select(req: GroupQuery): RoutableGroup | undefined;
   sent(attempt: AttemptId, group: GroupId, req: SentRequest): void;
   firstToken(attempt: AttemptId): void;
   /** To be called for each attempt that was chosen, sent or not. */
@@ -49,11 +49,11 @@
   return keys;
 }
 
-export function createGroupChoice(clock: Clock, random: Random): GroupChoice {
+export function createGroupSelector(clock: Clock, random: Random): GroupSelector {
   const state = createRouting();
   const now = () => ({ now: clock.now() });
   return {
-    choose: ({ groups, tried, prefixKeys, organisation }) => {
+    select: ({ groups, tried, prefixKeys, organisation }) => {
       const exclude = new Set([...tried].map((id) => brandAs<GroupId>(id)));
       const req = { groups, exclude, prefixKeys, organisation };
       return chooseGroup(state, req, { now: clock.now(), random }).group;
--- a/src/app/requests/guard.ts
+++ b/src/app/requests/guard.ts
@@ -20,7 +20,7 @@
 }
 
 /** For calls without a claim. */
-export const OPEN_GUARD: SendGuard = {
+export const NOOP_GUARD: SendGuard = {
   beforeSend: () => undefined,
   onFailed: () => undefined,
   capture: () => undefined,
--- a/src/app/requests/model-answer.ts
+++ b/src/app/requests/model-answer.ts
@@ -15,15 +15,15 @@
 import type { AttemptFailed, AttemptResult } from './attempts';
 import { readBody } from './body';
 import type { RequestContext } from './context';
-import { done } from './ending';
-import type { GroupChoice } from './group-choice';
+import { doneEnding } from './ending';
+import type { GroupSelector } from './group-choice';
 import type { SendGuard } from './guard';
 import type { ModelCall } from './model-request';
 import { EVENT_STREAM, HEADER, METRIC } from './names';
 import { relayStream } from './relay';
 import { startStream } from './reply';
 import type { Strikes } from './strikes';
-import { checkWholeAnswer } from './whole';
+import { checkBufferedAnswer } from './whole';
 
 const MAX_REFUSAL_BYTES = 64 * 1024;
 const STATUS = { conflict: 409, unavailable: 503, errorsOfOurs: 400, errorsOfTheirs: 500 };
@@ -36,7 +36,7 @@
   readonly id: AttemptId;
   readonly span: Span;
   readonly guard: SendGuard;
-  readonly choice: GroupChoice;
+  readonly choice: GroupSelector;
   readonly strikes: Strikes;
   readonly abort: AttemptAbort;
 }
@@ -112,7 +112,7 @@
   const type = answered.res.headers['content-type'] ?? 'application/json';
   const headers = { 'content-type': type };
   const status = answered.res.statusCode ?? STATUS.errorsOfOurs;
-  return { kind: 'done', ending: done({ kind: 'whole', status, headers, body: body.value }) };
+  return { kind: 'done', ending: doneEnding({ kind: 'whole', status, headers, body: body.value }) };
 }
 
 function observeFirst({ ctx, call, choice, id }: ModelAttempt): void {
@@ -124,11 +124,11 @@
 async function onWhole(attempt: ModelAttempt, answered: Answered): Promise<AttemptResult> {
   const body = await readWhole(attempt, answered);
   if (body.isErr()) return attemptFailed('lost', body.error);
-  const fault = checkWholeAnswer(body.value);
+  const fault = checkBufferedAnswer(body.value);
   if (fault !== undefined) return badAnswer(attempt, `not a whole answer: ${fault}`);
   observeFirst(attempt);
   const headers = { 'content-type': 'application/json' };
-  return { kind: 'done', ending: done({ kind: 'whole', status: 200, headers, body: body.value }) };
+  return { kind: 'done', ending: doneEnding({ kind: 'whole', status: 200, headers, body: body.value }) };
 }
 
 /** One gap in so many is recorded, which keeps the cost per chunk down and the sample fair. */
@@ -165,9 +165,9 @@
     to: call.exchange.res,
     peer: group.address,
     maxFrameBytes: ctx.settings.maxFrameBytes,
-    idleMs: ctx.settings.streamIdleMs,
+    idleTimeoutMs: ctx.settings.streamIdleTimeoutMs,
     onFirst: () => {
-      attempt.abort.liftDeadline();
+      attempt.abort.clearDeadline();
       observeFirst(attempt);
       startStream(call.exchange.res, call.exchange.id, contentType);
     },
@@ -179,7 +179,7 @@
   const captured = capture?.chunks();
   return {
     kind: 'done',
-    ending: done({ kind: 'stream-end', last: relayed.last, contentType, captured }),
+    ending: doneEnding({ kind: 'stream-end', last: relayed.last, contentType, captured }),
   };
 }
 
--- a/src/app/requests/model-attempt.ts
+++ b/src/app/requests/model-attempt.ts
@@ -82,7 +82,7 @@
 function noteEnd(attempt: ModelAttempt, result: AttemptResult): void {
   const { strikes, id, abort } = attempt;
   const isTorn = result.kind === 'failed' && result.failure === 'lost';
-  if (isTorn && !abort.controller.signal.aborted) strikes.torn(id);
+  if (isTorn && !abort.controller.signal.aborted) strikes.interrupted(id);
   else strikes.ended(runOf(attempt), result.kind === 'done');
 }
 
--- a/src/app/requests/model-call.ts
+++ b/src/app/requests/model-call.ts
@@ -7,7 +7,7 @@
 import { fail } from '../../utils/errors';
 import { createAbort } from './abort';
 import { runAttempts } from './attempts';
-import type { AttemptPlan, AttemptResult, Picked } from './attempts';
+import type { AttemptPlan, AttemptResult, Selection } from './attempts';
 import type { RequestContext } from './context';
 import type { RequestParts } from './request-parts';
 import type { Ending, Failure } from './ending';
@@ -48,7 +48,7 @@
 /** Requests that this daemon may have in flight on the model's groups: its part of their batches. */
 export function modelCapacity(ctx: RequestContext, model: ModelId): Capacity {
   const batches = ctx.groups.routable(model).reduce((sum, { maxBatch }) => sum + maxBatch, 0);
-  const daemons = Math.max(1, ctx.peerCount?.() ?? 1);
+  const daemons = Math.max(1, ctx.daemonCount?.() ?? 1);
   const slots = Math.ceil((batches * ctx.settings.slotOvercommit) / daemons);
   return { slots, expectedAt: ctx.groups.expectedAt(model) };
 }
@@ -57,7 +57,7 @@
   return ESTIMATE.baseMs + maxTokens * ESTIMATE.perTokenMs;
 }
 
-function noGroup(ctx: RequestContext, call: ModelCall): Picked<RoutableGroup> {
+function noGroup(ctx: RequestContext, call: ModelCall): Selection<RoutableGroup> {
   const error = fail('no-group', 'no replica group can take the request', { step: 'routing' });
   const soon = later(ctx.clock.epoch(), ctx.settings.retryAfterMs);
   const retryAt = ctx.groups.expectedAt(call.model) ?? soon;
@@ -80,7 +80,7 @@
   parts: RequestParts,
   call: ModelCall,
   tried: ReadonlySet<string>,
-): Picked<RoutableGroup> {
+): Selection<RoutableGroup> {
   const quarantined = quarantineFailure(parts, call);
   if (quarantined !== undefined) return { kind: 'none', failure: quarantined };
   const span = call.exchange.span.child('routing');
@@ -88,11 +88,11 @@
   const groups = parts.strikes.open(call.fingerprint, untried);
   const { prefixKeys } = call;
   const organisation = call.caller.organisation.id;
-  const place = parts.choice.choose({ groups, tried, prefixKeys, organisation });
+  const place = parts.selector.select({ groups, tried, prefixKeys, organisation });
   span.set('groups', groups.length);
   span.end(place === undefined ? 'no-group' : undefined);
   if (place === undefined) return noGroup(ctx, call);
-  return { kind: 'place', key: place.id, place };
+  return { kind: 'place', key: place.id, destination: place };
 }
 
 /** Where one attempt goes, and what must hold when it is sent. */
@@ -108,7 +108,7 @@
   call: ModelCall,
   { group, id, guard }: Sending,
 ): Promise<AttemptResult> {
-  const { choice, strikes } = parts;
+  const { selector: choice, strikes } = parts;
   const span = call.exchange.span.child('attempt');
   span.set('group', group.id);
   span.set('peer', group.address);
--- a/src/app/requests/relay.ts
+++ b/src/app/requests/relay.ts
@@ -11,14 +11,14 @@
 import type { FrameCheck, StreamFault } from './sse';
 
 /** A stream to pass on. */
-export interface RelayJob {
+export interface RelayOptions {
   readonly from: IncomingMessage;
   readonly to: ServerResponse;
   /** Address of the engine, for errors. */
   readonly peer: string;
   readonly maxFrameBytes: number;
   /** Longest time without progress on either side, milliseconds. */
-  readonly idleMs: number;
+  readonly idleTimeoutMs: number;
   /** Called before the first byte is passed on. */
   readonly onFirst: () => void;
   /** Called with each chunk that came in. */
@@ -28,7 +28,7 @@
 }
 
 /** The stream came to its proper end; `last` is still to be written. */
-export interface RelayedWhole {
+export interface RelayComplete {
   readonly kind: 'whole';
   readonly last: Buffer;
 }
@@ -40,7 +40,7 @@
   readonly error: StepError;
 }
 
-export type RelayResult = RelayedWhole | RelayBroken;
+export type RelayResult = RelayComplete | RelayBroken;
 
 function faultError(fault: StreamFault, peer: string): StepError {
   return fail('bad-answer', `stream is not a whole answer: ${fault}`, { step: 'last-byte', peer });
@@ -53,7 +53,7 @@
 }
 
 /** Passes the stream on until it ends or breaks. The caller of this function tears connections. */
-export function relayStream(job: RelayJob): Promise<RelayResult> {
+export function relayStream(job: RelayOptions): Promise<RelayResult> {
   const { from, to, peer } = job;
   const check = createFrameCheck(job.maxFrameBytes);
   let started = false;
@@ -70,7 +70,7 @@
     };
     const timer = setTimeout(() => {
       breakOff(fail('deadline-exceeded', 'no progress in the stream', { step: 'relay', peer }));
-    }, job.idleMs);
+    }, job.idleTimeoutMs);
     const onDrain = (): void => {
       timer.refresh();
       from.resume();
--- a/src/app/requests/reply.ts
+++ b/src/app/requests/reply.ts
@@ -6,7 +6,7 @@
 import type { Outcome } from '../../core/outcome';
 import type { StepError } from '../../utils/errors';
 import { statusOf } from '../../utils/errors';
-import type { DoneEnding, Ending, FailedEnding, StreamEnd, WholeAnswer } from './ending';
+import type { DoneEnding, Ending, FailedEnding, StreamEnd, BufferedAnswer } from './ending';
 import { HEADER } from './names';
 
 const MS_PER_SECOND = 1_000;
@@ -40,7 +40,7 @@
   return { [HEADER.retryAfter]: String(seconds) };
 }
 
-function sendWhole(target: ReplyTarget, answer: WholeAnswer): void {
+function sendWhole(target: ReplyTarget, answer: BufferedAnswer): void {
   target.res.writeHead(answer.status, {
     ...answer.headers,
     'content-length': answer.body.byteLength,
--- a/src/app/requests/requests.ts
+++ b/src/app/requests/requests.ts
@@ -8,15 +8,15 @@
 import { createClaimWriter } from './claim-writer';
 import type { ClaimWriter } from './claim-writer';
 import { createClaims } from './claims';
-import { createBudgets } from './context';
+import { createRetryBudgets } from './context';
 import type { RequestContext, RequestDeps } from './context';
 import type { RequestParts } from './request-parts';
 import type { Ending } from './ending';
 import { answer, createExchange, refuseDraining } from './entry';
-import type { Entry } from './entry';
+import type { RequestPlane } from './entry';
 import type { Exchange } from './exchange';
-import { createGate } from './gate';
-import { createGroupChoice } from './group-choice';
+import { createAdmissionGate } from './gate';
+import { createGroupSelector } from './group-choice';
 import { METRIC } from './names';
 import { pause } from './pause';
 import { writeEnding } from './reply';
@@ -29,7 +29,7 @@
 function createContext(deps: RequestDeps): RequestContext {
   const settings = { ...REQUEST_DEFAULTS, ...deps.settings };
   const upstream = createUpstream({ connectTimeoutMs: settings.connectTimeoutMs });
-  return { ...deps, settings, upstream, budgets: createBudgets(settings) };
+  return { ...deps, settings, upstream, retryBudgets: createRetryBudgets(settings) };
 }
 
 /** Says how a request went, to its caller and to those who watch. */
@@ -77,12 +77,12 @@
     table,
     clock,
     metrics,
-    daemons: ctx.peerCount ?? (() => 1),
+    daemons: ctx.daemonCount ?? (() => 1),
     commitsPerSecond: settings.tableCommitsPerSecond,
     claimShare: settings.claimShare,
-    batch: settings.claimBatch,
-    gatherMs: settings.claimGatherMs,
-    waitMs: settings.claimWaitMs,
+    maxBatch: settings.maxClaimBatch,
+    lingerMs: settings.claimLingerMs,
+    queueTimeoutMs: settings.claimTimeoutMs,
   });
 }
 
@@ -90,8 +90,8 @@
   return {
     backends: createBackends(ctx.clock, ctx.random),
     claims: createClaims(ctx, writer),
-    gate: createGate(ctx.clock, ctx.random),
-    choice: createGroupChoice(ctx.clock, ctx.random),
+    gate: createAdmissionGate(ctx.clock, ctx.random),
+    selector: createGroupSelector(ctx.clock, ctx.random),
     strikes: createStrikes(ctx),
   };
 }
@@ -102,7 +102,7 @@
   const writer = createWriter(ctx);
   const parts = createParts(ctx, writer);
   const sweep = createSweep(ctx, writer);
-  const entry: Entry = { ctx, parts };
+  const entry: RequestPlane = { ctx, parts };
   let inFlight = 0;
   let isDraining = false;
   let onIdle: (() => void)[] = [];
@@ -126,7 +126,7 @@
     }
     change(1);
     concludeSafely(ctx, exchange, await answer(entry, exchange));
-    await closed(res, ctx.settings.streamIdleMs);
+    await closed(res, ctx.settings.streamIdleTimeoutMs);
     change(-1);
   };
 
@@ -151,7 +151,7 @@
       sweep.stop();
       parts.strikes.stop();
       ctx.upstream.close();
-      await Promise.race([parts.claims.settled(), pause(ctx.settings.settleWaitMs)]);
+      await Promise.race([parts.claims.settled(), pause(ctx.settings.settleTimeoutMs)]);
     },
   };
 }
--- a/src/app/requests/service-call.ts
+++ b/src/app/requests/service-call.ts
@@ -11,11 +11,11 @@
 import { fail } from '../../utils/errors';
 import { createAbort } from './abort';
 import { attemptFailed, runAttempts } from './attempts';
-import type { AttemptPlan, AttemptResult, Picked } from './attempts';
+import type { AttemptPlan, AttemptResult, Selection } from './attempts';
 import type { Backends } from './backends';
 import { readBody } from './body';
 import type { RequestContext } from './context';
-import { done } from './ending';
+import { doneEnding } from './ending';
 import type { Ending } from './ending';
 import type { Call } from './exchange';
 import type { SendGuard } from './guard';
@@ -125,7 +125,7 @@
     return attemptFailed('bad-answer', fail('bad-answer', 'answer without a length', origin));
   }
   const headers = endToEnd(res.headers);
-  return { kind: 'done', ending: done({ kind: 'whole', status, headers, body: body.value }) };
+  return { kind: 'done', ending: doneEnding({ kind: 'whole', status, headers, body: body.value }) };
 }
 
 async function sendOnce(
@@ -167,10 +167,10 @@
 ): Promise<AttemptResult> {
   const { peer, span } = sending;
   span.set('peer', peer);
-  const release = backends.take(peer);
+  const release = backends.acquire(peer);
   try {
     const result = await sendOnce(ctx, call, sending);
-    if (result.kind === 'failed' && result.failure === 'not-sent') backends.avoid(peer);
+    if (result.kind === 'failed' && result.failure === 'not-sent') backends.markUnreachable(peer);
     span.end(result.kind === 'failed' ? result.error.code : undefined);
     return result;
   } finally {
@@ -183,9 +183,9 @@
   call: ServiceCall,
   backends: Backends,
   tried: ReadonlySet<string>,
-): Picked<string> {
+): Selection<string> {
   const place = backends.pick(call.spec, tried);
-  if (place !== undefined) return { kind: 'place', key: place, place };
+  if (place !== undefined) return { kind: 'place', key: place, destination: place };
   const error = fail('overloaded', 'no backend server can take the call', { step: 'routing' });
   const retryAt = later(ctx.clock.epoch(), ctx.settings.retryAfterMs);
   return { kind: 'none', failure: { error, exposure: 'none', retryAt } };
--- a/src/app/requests/stored.ts
+++ b/src/app/requests/stored-answer.ts
@@ -2,20 +2,20 @@
 
 import type { StoredAnswer, StoredBody } from '../../core/ledger/rows';
 import type { RequestContext } from './context';
-import type { DoneEnding, Ending, StreamEnd, WholeAnswer } from './ending';
-import { done, ended } from './ending';
+import type { DoneEnding, Ending, StreamEnd, BufferedAnswer } from './ending';
+import { doneEnding, failedEnding } from './ending';
 import { fail } from '../../utils/errors';
 
 /** Headers of an answer that are stored with it. */
 const STORED_HEADERS = ['content-type', 'content-encoding', 'location', 'etag'];
 
-function wholeOf(end: StreamEnd): WholeAnswer | undefined {
+function wholeOf(end: StreamEnd): BufferedAnswer | undefined {
   if (end.captured === undefined) return undefined;
   const body = Buffer.concat([...end.captured, end.last]);
   return { kind: 'whole', status: 200, headers: { 'content-type': end.contentType }, body };
 }
 
-function headersOf({ headers }: WholeAnswer): Record<string, string> {
+function headersOf({ headers }: BufferedAnswer): Record<string, string> {
   const kept = STORED_HEADERS.filter((name) => headers[name] !== undefined);
   return Object.fromEntries(kept.map((name) => [name, String(headers[name])]));
 }
@@ -25,7 +25,7 @@
   objectKey: string,
   body: Uint8Array,
 ): Promise<StoredBody> {
-  if (body.byteLength <= ctx.settings.rowAnswerBytes) {
+  if (body.byteLength <= ctx.settings.maxRowAnswerBytes) {
     return { kind: 'row', base64: Buffer.from(body).toString('base64') };
   }
   const put = await ctx.objects.put(objectKey, body);
@@ -65,8 +65,8 @@
   ) => Promise<Uint8Array | undefined>;
   const body = await read(ctx, stored.body);
   if (body !== undefined) {
-    return done({ kind: 'whole', status: stored.status, headers: stored.headers, body });
+    return doneEnding({ kind: 'whole', status: stored.status, headers: stored.headers, body });
   }
   const error = fail('in-progress', 'ran before; its answer cannot be had', { step: 'claim' });
-  return ended({ error, exposure: 'exposed' });
+  return failedEnding({ error, exposure: 'exposed' });
 }
--- a/src/app/requests/strikes.ts
+++ b/src/app/requests/strikes.ts
@@ -7,19 +7,19 @@
 import type { RoutableGroup } from '../../core/groups/types';
 import type { AttemptId, DomainId, EpochTime, Fingerprint, GroupId } from '../../core/ids';
 import { later } from '../../core/ids';
-import { openGroups } from '../../core/retry/isolate';
+import { allowedGroups } from '../../core/retry/isolate';
 import {
-  clear,
+  clearStrikes,
   createQuarantine,
   dropStrike,
-  nextSettle,
+  nextDecisionAt,
   onGroupLost,
   onPeerStrike,
   onRunEnd,
   onRunStart,
-  onRunTorn,
+  onRunInterrupted,
   quarantinedUntil,
-  settleStrikes,
+  decideDueStrikes,
   suspicionOf,
 } from '../../core/retry/quarantine';
 import type { QuarantineContext, Run, Strike, Suspicion } from '../../core/retry/quarantine-types';
@@ -63,7 +63,7 @@
   /** The run is over; `whole` if it gave a whole answer. */
   ended(run: Run, whole: boolean): void;
   /** The run's connection broke. */
-  torn(attempt: AttemptId): void;
+  interrupted(attempt: AttemptId): void;
 }
 
 export function createStrikes(deps: StrikeDeps): Strikes {
@@ -95,7 +95,7 @@
 
   /** A strike that ended when it began is taken back. */
   const settle = (): void => {
-    const { dropped } = settleStrikes(state, context());
+    const { dropped } = decideDueStrikes(state, context());
     const own = dropped.filter(({ isOwn }) => isOwn);
     own.forEach((strike) => {
       publish({ ...strike, until: strike.at });
@@ -105,13 +105,13 @@
 
   const arm = (): void => {
     clearTimeout(timer);
-    const at = nextSettle(state);
+    const at = nextDecisionAt(state);
     if (at !== undefined) timer = setTimeout(settle, Math.max(1, at - clock.now())).unref();
   };
 
   const takeClear = (fingerprint: Fingerprint, at: EpochTime): void => {
     cleared.set(fingerprint, at);
-    clear(state, fingerprint);
+    clearStrikes(state, fingerprint);
   };
 
   const takeStrike = (strike: Strike): void => {
@@ -166,7 +166,7 @@
     quarantinedUntil: (fingerprint) => quarantinedUntil(state, fingerprint),
     open: (fingerprint, known) => {
       remember(known);
-      return openGroups(state, fingerprint, known, context());
+      return allowedGroups(state, fingerprint, known, context());
     },
     sent: (run) => {
       onRunStart(state, run);
@@ -175,8 +175,8 @@
       onRunEnd(state, run.attempt);
       if (whole && run.suspect) tellCleared(run.fingerprint);
     },
-    torn: (attempt) => {
-      publishNew(onRunTorn(state, attempt, context()));
+    interrupted: (attempt) => {
+      publishNew(onRunInterrupted(state, attempt, context()));
     },
   };
 }
--- a/src/app/requests/sweep.ts
+++ b/src/app/requests/sweep.ts
@@ -73,7 +73,7 @@
   };
 
   const schedule = (): void => {
-    const everyMs = ctx.settings.sweepEveryMs * Math.max(1, ctx.peerCount?.() ?? 1);
+    const everyMs = ctx.settings.sweepIntervalMs * Math.max(1, ctx.daemonCount?.() ?? 1);
     const waitMs = everyMs * (MIN_SHARE + ctx.random.next());
     subscription = timer(waitMs).subscribe(() => void sweepPage().then(schedule));
   };
--- a/src/app/stop.ts
+++ b/src/app/shutdown.ts
@@ -6,20 +6,20 @@
 import type { StepError } from '../utils/errors';
 import { pause } from '../utils/pause';
 import type { Parts } from './parts';
-import type { Listening } from './listen';
+import type { HttpListener } from './listen';
 import type { DaemonSettings } from './settings';
 
-export interface StopDeps {
+export interface ShutdownDeps {
   readonly settings: Pick<DaemonSettings, 'drainWaitMs' | 'drainLimitMs'>;
   readonly parts: Parts;
   /** Filled in as the daemon starts to listen. */
-  readonly listening: readonly Listening[];
+  readonly listeners: readonly HttpListener[];
   readonly logger: Logger;
-  readonly leaveList: () => ResultAsync<unknown, StepError>;
+  readonly deregister: () => ResultAsync<unknown, StepError>;
   readonly flushTraces: () => Promise<void>;
 }
 
-export interface Stop {
+export interface Shutdown {
   isStopping(): boolean;
   /** Stops; a second call joins the first. */
   readonly drain: () => Promise<void>;
@@ -39,7 +39,7 @@
 }
 
 /** Unready, wait for the balancer, refuse new work, finish what runs, hand back, stop. */
-async function run({ settings, parts, listening, logger, ...deps }: StopDeps): Promise<void> {
+async function run({ settings, parts, listeners: listening, logger, ...deps }: ShutdownDeps): Promise<void> {
   logger.info('stopping', { step: 'drain' });
   // Roles move to the other daemons while the streams here finish.
   parts.membership.leave();
@@ -55,16 +55,16 @@
   await parts.requests.stop();
   await parts.config.stop();
   await parts.membership.stop();
-  const left = await deps.leaveList();
+  const left = await deps.deregister();
   if (left.isErr()) logger.warn('still in the instance list', { code: left.error.code });
-  if (!finished) for (const server of listening) server.cut();
+  if (!finished) for (const server of listening) server.destroyConnections();
   await Promise.all(listening.map((server) => server.close()));
   await deps.flushTraces();
   logger.info('stopped', { step: 'drain' });
 }
 
 /** Prepares the planned stop. */
-export function createStop(deps: StopDeps): Stop {
+export function createShutdown(deps: ShutdownDeps): Shutdown {
   let running: Promise<void> | undefined;
   let end: (() => void) | undefined;
   const stopped = new Promise<void>((resolve) => {
