--- a/src/cli/commands/documents.ts
+++ b/src/cli/commands/documents.ts
@@ -6,7 +6,7 @@
 import { stringify } from 'yaml';
 
 import { parseDocument } from '../../adapters/config-file';
-import { checkDocument, describeFaults } from '../../core/config/check';
+import { checkDocument, formatFieldErrors } from '../../core/config/check';
 import type { Json } from '../../core/json';
 import { callAdmin, failureOf, readTarget } from '../client';
 import type { AdminTarget } from '../client';
@@ -113,5 +113,5 @@
   const checked = checkDocument(document.value);
   if (checked.isOk()) return done({ valid: true }, 'valid');
   const fields = checked.error;
-  return refused({ code: 'bad-request', message: describeFaults(fields), fields });
+  return refused({ code: 'bad-request', message: formatFieldErrors(fields), fields });
 };
--- a/src/cli/logs.ts
+++ b/src/cli/logs.ts
@@ -4,13 +4,13 @@
 import { createInterface } from 'node:readline';
 import type { Readable } from 'node:stream';
 
-import { readLine } from '../core/explain/explain';
+import { parseLogLine } from '../core/explain/explain';
 import type { LogLine } from '../core/explain/log-line';
 
 async function readStream(input: Readable): Promise<LogLine[]> {
   const lines: LogLine[] = [];
   for await (const text of createInterface({ input })) {
-    const line = readLine(text);
+    const line = parseLogLine(text);
     if (line) lines.push(line);
   }
   return lines;
--- a/src/cli/report-text.ts
+++ b/src/cli/report-text.ts
@@ -1,6 +1,6 @@
 /** A report as text for a terminal. */
 
-import type { Report, Second, WorkSecond } from '../core/report/types';
+import type { Report, OutcomeSecond, WorkSample } from '../core/report/types';
 
 const MS_PER_S = 1_000;
 const MOST_ROWS = 10;
@@ -20,13 +20,13 @@
   return [title, ...lines].join('\n');
 }
 
-function lostShare({ outcomes }: Second): number {
+function lostShare({ outcomes }: OutcomeSecond): number {
   const all = Object.values(outcomes).reduce((sum, count) => sum + count, 0);
   return 1 - (outcomes.served ?? 0) / all;
 }
 
 /** The seconds in which the largest part was not served, worst first. */
-function worstSeconds({ seconds: all }: Report): Second[] {
+function worstSeconds({ seconds: all }: Report): OutcomeSecond[] {
   return all
     .filter((second) => lostShare(second) > 0)
     .sort((a, b) => lostShare(b) - lostShare(a))
@@ -34,8 +34,8 @@
 }
 
 /** The moments in which most requests waited, in daemons or engines. */
-function worstWork({ work }: Report): readonly WorkSecond[] {
-  const standing = ({ queued, waiting }: WorkSecond): number => queued + waiting;
+function worstWork({ work }: Report): readonly WorkSample[] {
+  const standing = ({ queued, waiting }: WorkSample): number => queued + waiting;
   return work
     .filter((second) => standing(second) > 0)
     .sort((a, b) => standing(b) - standing(a))
--- a/src/core/admission/admission.ts
+++ b/src/core/admission/admission.ts
@@ -6,28 +6,28 @@
 
 import type { ModelId, MonoTime, RequestId } from '../ids';
 import { later } from '../ids';
-import type { ChanceContext } from '../random';
+import type { RandomContext } from '../random';
 import { serviceMs } from './estimate';
 import { peek } from './heap';
 import {
-  backlogMs,
+  estimatedWaitMs,
   fillSlots,
-  forget,
-  giveUp,
-  giveUpHopeless,
-  giveUpOverdue,
-  hold,
+  untrack,
+  refuseQueued,
+  refuseWithoutCapacity,
+  refuseOverdue,
+  track,
   isOverdue,
   overdueAt,
-  reasonOf,
-  retryMs,
+  expiryReason,
+  retryAfterMs,
 } from './held';
-import { brokenLimit } from './limits';
+import { exceededLimit } from './limits';
 import type { AdmissionPolicy } from './policies';
 import { ADMISSION_POLICIES } from './policies';
-import { accountOf, createPool, enter, leave, occupy, vacate } from './pool';
+import { accountOf, createPool, addQueued, removeQueued, takeSlot, freeSlot } from './pool';
 import { refuse } from './refusal';
-import { isFull, leastOf, shedHopeless, whyNotQueue } from './shedding';
+import { isFull, selectVictim, shedUnreachable, queueRefusalReason } from './shedding';
 import { ADMISSION_DEFAULTS } from './types';
 import type {
   Admission,
@@ -37,7 +37,7 @@
   Entry,
   Pool,
   RefusedRequest,
-  Settled,
+  QueueUpdate,
   Verdict,
 } from './types';
 
@@ -52,7 +52,7 @@
 }
 
 /** Decides on a new request. Its id must not be in use. */
-export function admit(state: AdmissionState, req: AdmissionRequest, ctx: ChanceContext): Admission {
+export function admit(state: AdmissionState, req: AdmissionRequest, ctx: RandomContext): Admission {
   // A model without capacity so far gets no entry of its own from callers naming it.
   const pool = state.pools.get(req.model) ?? createPool(req.model);
   const policy = ADMISSION_POLICIES[state.opts.policy];
@@ -65,12 +65,12 @@
  * The request is over, was cancelled, or was given up. Frees its slot or its place in the queue; a
  * request that is not held is passed over.
  */
-export function release(state: AdmissionState, id: RequestId, ctx: ChanceContext): Settled {
+export function release(state: AdmissionState, id: RequestId, ctx: RandomContext): QueueUpdate {
   const entry = state.entries.get(id);
   if (entry === undefined) return { state, admitted: [], refused: [] };
-  forget(state, entry);
-  if (entry.startedAt === undefined) leave(entry.pool, entry);
-  else vacate(entry.pool, entry, entry.startedAt, ctx.now);
+  untrack(state, entry);
+  if (entry.startedAt === undefined) removeQueued(entry.pool, entry);
+  else freeSlot(entry.pool, entry, entry.startedAt, ctx.now);
   return fillSlots(state, entry.pool, ctx);
 }
 
@@ -78,13 +78,13 @@
  * Refuses queued requests whose deadline can no longer be met, and those that wait for capacity
  * which is overdue. To be called at `nextExpiry`.
  */
-export function expire(state: AdmissionState, ctx: ChanceContext): Settled {
+export function expire(state: AdmissionState, ctx: RandomContext): QueueUpdate {
   const refused: RefusedRequest[] = [];
   for (const pool of state.pools.values()) {
-    if (isOverdue(state, pool, ctx.now)) refused.push(...giveUpOverdue(state, pool, ctx));
-    for (let entry = peek(pool.expiry); entry !== undefined; entry = peek(pool.expiry)) {
+    if (isOverdue(state, pool, ctx.now)) refused.push(...refuseOverdue(state, pool, ctx));
+    for (let entry = peek(pool.byStartBy); entry !== undefined; entry = peek(pool.byStartBy)) {
       if (entry.startBy > ctx.now) break;
-      refused.push(giveUp(state, entry, reasonOf(entry, ctx.now), ctx));
+      refused.push(refuseQueued(state, entry, expiryReason(entry, ctx.now), ctx));
     }
   }
   return { state, admitted: [], refused };
@@ -94,7 +94,7 @@
 export function nextExpiry(state: AdmissionState): MonoTime | undefined {
   let earliest: MonoTime | undefined;
   for (const pool of state.pools.values()) {
-    const first = peek(pool.expiry)?.startBy;
+    const first = peek(pool.byStartBy)?.startBy;
     if (first === undefined) continue;
     const due = overdueAt(state, pool);
     const at = due === undefined || first < due ? first : due;
@@ -111,13 +111,13 @@
   state: AdmissionState,
   model: ModelId,
   slots: number,
-  ctx: ChanceContext,
+  ctx: RandomContext,
   expectedAt?: MonoTime,
-): Settled {
+): QueueUpdate {
   const pool = poolOf(state, model);
   pool.slots = slots;
   pool.expectedAt = slots > 0 ? undefined : expectedAt;
-  const settled = slots > 0 ? fillSlots(state, pool, ctx) : giveUpHopeless(state, pool, ctx);
+  const settled = slots > 0 ? fillSlots(state, pool, ctx) : refuseWithoutCapacity(state, pool, ctx);
   const isEmpty = pool.running === 0 && pool.queued === 0;
   if (slots === 0 && expectedAt === undefined && isEmpty) state.pools.delete(model);
   return settled;
@@ -155,31 +155,31 @@
   entry: Entry,
   policy: AdmissionPolicy,
   refused: RefusedRequest[],
-  ctx: ChanceContext,
+  ctx: RandomContext,
 ): Verdict {
   const { req, pool } = entry;
   if (req.deadline <= ctx.now)
-    return refuse('deadline-passed', backlogMs(state, entry, ctx), state.opts, ctx);
-  const broken = brokenLimit(state, req);
+    return refuse('deadline-passed', estimatedWaitMs(state, entry, ctx), state.opts, ctx);
+  const broken = exceededLimit(state, req);
   if (broken !== undefined) {
     return refuse(broken, serviceMs(pool, req.estimateMs), state.opts, ctx);
   }
   if (pool.running < pool.slots) {
     // Nothing waits while a slot is free, so even a request that may be late takes no one's place.
-    hold(state, entry, policy, ctx.now);
-    occupy(pool, entry, ctx.now, state.opts);
+    track(state, entry, policy, ctx.now);
+    takeSlot(pool, entry, ctx.now, state.opts);
     return { kind: 'admitted' };
   }
-  const reason = whyNotQueue(state, entry, policy, ctx);
-  if (reason !== undefined) return refuse(reason, retryMs(state, entry, ctx), state.opts, ctx);
+  const reason = queueRefusalReason(state, entry, policy, ctx);
+  if (reason !== undefined) return refuse(reason, retryAfterMs(state, entry, ctx), state.opts, ctx);
   if (isFull(state, pool)) {
-    const given = leastOf(entry, policy);
+    const given = selectVictim(entry, policy);
     if (given === undefined)
-      return refuse('queue-full', backlogMs(state, entry, ctx), state.opts, ctx);
-    refused.push(giveUp(state, given, 'displaced', ctx));
+      return refuse('queue-full', estimatedWaitMs(state, entry, ctx), state.opts, ctx);
+    refused.push(refuseQueued(state, given, 'displaced', ctx));
   }
-  hold(state, entry, policy, ctx.now);
-  enter(pool, entry, policy, state.opts);
-  if (policy.refusesEarly) shedHopeless(state, entry, refused, ctx);
+  track(state, entry, policy, ctx.now);
+  addQueued(pool, entry, policy, state.opts);
+  if (policy.refusesEarly) shedUnreachable(state, entry, refused, ctx);
   return { kind: 'queued' };
 }
--- a/src/core/admission/estimate.ts
+++ b/src/core/admission/estimate.ts
@@ -2,7 +2,7 @@
 
 import type { MonoTime } from '../ids';
 import { startTag } from './pool';
-import { arrivalsBefore, workBefore, workThrough } from './queue';
+import { arrivalRateBefore, workBefore, workThrough } from './queue';
 import { rateAt } from './rate';
 import type { Account, AdmissionOptions, Entry, Pool } from './types';
 
@@ -17,19 +17,19 @@
 }
 
 /** Measured time in a slot over the estimated one. */
-export function stretch(pool: Pool): number {
-  if (pool.estimatedMs === 0) return 1;
-  return Math.min(MAX_STRETCH, Math.max(MIN_STRETCH, pool.servedMs / pool.estimatedMs));
+export function estimateCorrection(pool: Pool): number {
+  if (pool.meanEstimateMs === 0) return 1;
+  return Math.min(MAX_STRETCH, Math.max(MIN_STRETCH, pool.meanServiceMs / pool.meanEstimateMs));
 }
 
 /** Time in a slot that a request of this estimate really takes, milliseconds. */
 export function serviceMs(pool: Pool, estimateMs: number): number {
-  return estimateMs * stretch(pool);
+  return estimateMs * estimateCorrection(pool);
 }
 
 /** Estimated work done per millisecond by all slots. */
 function poolSpeed(pool: Pool): number {
-  return pool.slots / stretch(pool);
+  return pool.slots / estimateCorrection(pool);
 }
 
 /** The same for one account: its share among those that wait, or what the others leave. */
@@ -45,7 +45,7 @@
 
 /** Work that the account may have done ahead of all others, milliseconds. */
 function creditMs(pool: Pool, account: Account, opts: AdmissionOptions): number {
-  return Math.max(0, pool.virtual - startTag(pool, account, opts)) * account.share;
+  return Math.max(0, pool.virtualTime - startTag(pool, account, opts)) * account.share;
 }
 
 /** Wait until `aheadMs` of the account's work is done; infinite without capacity. */
@@ -53,7 +53,7 @@
   if (pool.slots === 0) return Infinity;
   const credited = Math.min(work.aheadMs, creditMs(pool, account, ctx.opts));
   const speed = accountSpeed(pool, account, ctx);
-  const denser = arrivalsBefore(account.queue, work.bucket, ctx.now, ctx.opts.arrivalMemoryMs);
+  const denser = arrivalRateBefore(account.queue, work.bucket, ctx.now, ctx.opts.arrivalMemoryMs);
   const left = speed - denser;
   const rest = work.aheadMs - credited;
   const ownMs = credited / poolSpeed(pool) + (rest > 0 ? over(rest, left) : 0);
--- a/src/core/admission/held.ts
+++ b/src/core/admission/held.ts
@@ -2,16 +2,16 @@
 
 import type { MonoTime, RequestId } from '../ids';
 import { later } from '../ids';
-import type { ChanceContext } from '../random';
+import type { RandomContext } from '../random';
 import { joinWaitMs } from './estimate';
 import { peek } from './heap';
 import { countInFlight } from './limits';
 import type { AdmissionPolicy } from './policies';
-import { countArrival, leave, nextInTurn, occupy } from './pool';
+import { countArrival, removeQueued, nextQueued, takeSlot } from './pool';
 import { refuse } from './refusal';
-import type { AdmissionState, Entry, Pool, RefusalReason, RefusedRequest, Settled } from './types';
+import type { AdmissionState, Entry, Pool, RefusalReason, RefusedRequest, QueueUpdate } from './types';
 
-export function hold(
+export function track(
   state: AdmissionState,
   entry: Entry,
   policy: AdmissionPolicy,
@@ -22,67 +22,67 @@
   countInFlight(state, entry.req, 1);
 }
 
-export function forget(state: AdmissionState, entry: Entry): void {
+export function untrack(state: AdmissionState, entry: Entry): void {
   state.entries.delete(entry.req.id);
   countInFlight(state, entry.req, -1);
 }
 
 /** Wait of a request that would join now. */
-export function backlogMs({ opts }: AdmissionState, entry: Entry, { now }: ChanceContext): number {
+export function estimatedWaitMs({ opts }: AdmissionState, entry: Entry, { now }: RandomContext): number {
   return joinWaitMs(entry, { now, opts });
 }
 
 /** Time until the backlog will have shrunk enough for a request like this one. */
-export function retryMs(state: AdmissionState, entry: Entry, ctx: ChanceContext): number {
+export function retryAfterMs(state: AdmissionState, entry: Entry, ctx: RandomContext): number {
   const { pool, startBy } = entry;
   const { now } = ctx;
   if (pool.slots === 0) return pool.expectedAt === undefined ? Infinity : pool.expectedAt - now;
-  return now + backlogMs(state, entry, ctx) - startBy;
+  return now + estimatedWaitMs(state, entry, ctx) - startBy;
 }
 
 /** Takes a queued request out and refuses it. */
-export function giveUp(
+export function refuseQueued(
   state: AdmissionState,
   entry: Entry,
   reason: RefusalReason,
-  ctx: ChanceContext,
+  ctx: RandomContext,
 ): RefusedRequest {
-  forget(state, entry);
-  leave(entry.pool, entry);
+  untrack(state, entry);
+  removeQueued(entry.pool, entry);
   const isWithout = reason === 'no-capacity';
-  const afterMs = isWithout ? retryMs(state, entry, ctx) : backlogMs(state, entry, ctx);
+  const afterMs = isWithout ? retryAfterMs(state, entry, ctx) : estimatedWaitMs(state, entry, ctx);
   return { id: entry.req.id, verdict: refuse(reason, afterMs, state.opts, ctx) };
 }
 
-export function reasonOf(entry: Entry, now: MonoTime): RefusalReason {
+export function expiryReason(entry: Entry, now: MonoTime): RefusalReason {
   return entry.req.deadline <= now ? 'deadline-passed' : 'deadline-unreachable';
 }
 
 /** Gives free slots to queued requests in turn. */
-export function fillSlots(state: AdmissionState, pool: Pool, ctx: ChanceContext): Settled {
+export function fillSlots(state: AdmissionState, pool: Pool, ctx: RandomContext): QueueUpdate {
   const admitted: RequestId[] = [];
   const refused: RefusedRequest[] = [];
   while (pool.running < pool.slots) {
-    const entry = nextInTurn(pool);
+    const entry = nextQueued(pool);
     if (entry === undefined) break;
     if (entry.startBy <= ctx.now) {
-      refused.push(giveUp(state, entry, reasonOf(entry, ctx.now), ctx));
+      refused.push(refuseQueued(state, entry, expiryReason(entry, ctx.now), ctx));
       continue;
     }
-    leave(pool, entry);
-    occupy(pool, entry, ctx.now, state.opts);
+    removeQueued(pool, entry);
+    takeSlot(pool, entry, ctx.now, state.opts);
     admitted.push(entry.req.id);
   }
   return { state, admitted, refused };
 }
 
 /** Gives up queued requests for which capacity will not be back in time. */
-export function giveUpHopeless(state: AdmissionState, pool: Pool, ctx: ChanceContext): Settled {
+export function refuseWithoutCapacity(state: AdmissionState, pool: Pool, ctx: RandomContext): QueueUpdate {
   const { expectedAt } = pool;
   const refused: RefusedRequest[] = [];
-  for (let entry = peek(pool.expiry); entry !== undefined; entry = peek(pool.expiry)) {
+  for (let entry = peek(pool.byStartBy); entry !== undefined; entry = peek(pool.byStartBy)) {
     if (expectedAt !== undefined && entry.startBy >= expectedAt) break;
-    refused.push(giveUp(state, entry, 'no-capacity', ctx));
+    refused.push(refuseQueued(state, entry, 'no-capacity', ctx));
   }
   return { state, admitted: [], refused };
 }
@@ -99,11 +99,11 @@
 }
 
 /** Gives up all that wait for capacity that has not come, and expects none any more. */
-export function giveUpOverdue(
+export function refuseOverdue(
   state: AdmissionState,
   pool: Pool,
-  ctx: ChanceContext,
+  ctx: RandomContext,
 ): readonly RefusedRequest[] {
   pool.expectedAt = undefined;
-  return giveUpHopeless(state, pool, ctx).refused;
+  return refuseWithoutCapacity(state, pool, ctx).refused;
 }
--- a/src/core/admission/limits.ts
+++ b/src/core/admission/limits.ts
@@ -7,7 +7,7 @@
 }
 
 /** The limit that one more request would break. */
-export function brokenLimit(
+export function exceededLimit(
   state: AdmissionState,
   req: AdmissionRequest,
 ): RefusalReason | undefined {
--- a/src/core/admission/pool.ts
+++ b/src/core/admission/pool.ts
@@ -6,7 +6,7 @@
 import type { ModelId, MonoTime } from '../ids';
 import { createHeap, peek, push, remove, update } from './heap';
 import type { AdmissionPolicy } from './policies';
-import { best, bucketAt, createQueue, dequeue, enqueue } from './queue';
+import { headEntry, bucketAt, createQueue, dequeue, enqueue } from './queue';
 import { addWork, createRate } from './rate';
 import type { Account, AdmissionOptions, AdmissionRequest, Entry, Pool } from './types';
 
@@ -21,15 +21,15 @@
     queued: 0,
     queuedMs: 0,
     backloggedShare: 0,
-    virtual: 0,
-    servedMs: 0,
-    estimatedMs: 0,
+    virtualTime: 0,
+    meanServiceMs: 0,
+    meanEstimateMs: 0,
     arrivals: createRate(),
     expectedAt: undefined,
     accounts: new Map(),
-    turn: createHeap<Account>((a, b) => a.start < b.start),
-    fullest: createHeap<Account>((a, b) => queuedPerShare(a) > queuedPerShare(b)),
-    expiry: createHeap<Entry>((a, b) => a.startBy < b.startBy),
+    byStartTag: createHeap<Account>((a, b) => a.start < b.start),
+    byQueueLength: createHeap<Account>((a, b) => queuedPerShare(a) > queuedPerShare(b)),
+    byStartBy: createHeap<Entry>((a, b) => a.startBy < b.startBy),
   };
 }
 
@@ -65,7 +65,7 @@
   if (account.share === share) return;
   if (account.queue.size > 0) pool.backloggedShare += share - account.share;
   account.share = share;
-  update(pool.fullest, account);
+  update(pool.byQueueLength, account);
 }
 
 /** Counts the work of a request that was let in, at once or into the queue. */
@@ -88,11 +88,11 @@
 export function startTag(pool: Pool, account: Account, opts: AdmissionOptions): number {
   const known = pool.backloggedShare > 0 ? pool.backloggedShare : account.share;
   const credit = (opts.creditMs * pool.slots) / known;
-  return Math.max(account.start, pool.virtual - credit);
+  return Math.max(account.start, pool.virtualTime - credit);
 }
 
 /** Puts a request into its account's queue. */
-export function enter(
+export function addQueued(
   pool: Pool,
   entry: Entry,
   policy: AdmissionPolicy,
@@ -100,66 +100,66 @@
 ): void {
   const { account } = entry;
   enqueue(account.queue, entry, policy);
-  push(pool.expiry, entry);
+  push(pool.byStartBy, entry);
   pool.queued += 1;
   pool.queuedMs += entry.req.estimateMs;
   if (account.queue.size > 1) {
-    update(pool.fullest, account);
+    update(pool.byQueueLength, account);
     return;
   }
   pool.backloggedShare += account.share;
   account.start = startTag(pool, account, opts);
-  push(pool.turn, account);
-  push(pool.fullest, account);
+  push(pool.byStartTag, account);
+  push(pool.byQueueLength, account);
 }
 
 /** Takes a request out of its account's queue. */
-export function leave(pool: Pool, entry: Entry): void {
+export function removeQueued(pool: Pool, entry: Entry): void {
   const { account } = entry;
   dequeue(account.queue, entry);
-  remove(pool.expiry, entry);
+  remove(pool.byStartBy, entry);
   pool.queued -= 1;
   pool.queuedMs = pool.queued === 0 ? 0 : pool.queuedMs - entry.req.estimateMs;
   if (account.queue.size > 0) {
-    update(pool.fullest, account);
+    update(pool.byQueueLength, account);
     return;
   }
-  remove(pool.turn, account);
-  remove(pool.fullest, account);
+  remove(pool.byStartTag, account);
+  remove(pool.byQueueLength, account);
   pool.backloggedShare = pool.queued === 0 ? 0 : pool.backloggedShare - account.share;
 }
 
 /** The queued request whose turn it is. */
-export function nextInTurn(pool: Pool): Entry | undefined {
-  const account = peek(pool.turn);
-  return account && best(account.queue);
+export function nextQueued(pool: Pool): Entry | undefined {
+  const account = peek(pool.byStartTag);
+  return account && headEntry(account.queue);
 }
 
 /** Gives a request a slot and charges its account the estimate. */
-export function occupy(pool: Pool, entry: Entry, now: MonoTime, opts: AdmissionOptions): void {
+export function takeSlot(pool: Pool, entry: Entry, now: MonoTime, opts: AdmissionOptions): void {
   const { account } = entry;
   entry.startedAt = now;
   pool.running += 1;
   account.running += 1;
   const start = startTag(pool, account, opts);
-  pool.virtual = Math.max(pool.virtual, start);
+  pool.virtualTime = Math.max(pool.virtualTime, start);
   account.start = start + entry.req.estimateMs / account.share;
-  update(pool.turn, account);
+  update(pool.byStartTag, account);
 }
 
 /** Frees the slot and corrects the charge by the time it was really held. */
-export function vacate(pool: Pool, entry: Entry, startedAt: MonoTime, now: MonoTime): void {
+export function freeSlot(pool: Pool, entry: Entry, startedAt: MonoTime, now: MonoTime): void {
   const { account, req } = entry;
   const heldMs = now - startedAt;
   pool.running -= 1;
   account.running -= 1;
   account.start += (heldMs - req.estimateMs) / account.share;
-  update(pool.turn, account);
+  update(pool.byStartTag, account);
   learn(pool, heldMs, req.estimateMs);
 }
 
 function learn(pool: Pool, heldMs: number, estimateMs: number): void {
-  const weight = pool.estimatedMs === 0 ? 1 : NEWEST_WEIGHT;
-  pool.servedMs += weight * (heldMs - pool.servedMs);
-  pool.estimatedMs += weight * (estimateMs - pool.estimatedMs);
+  const weight = pool.meanEstimateMs === 0 ? 1 : NEWEST_WEIGHT;
+  pool.meanServiceMs += weight * (heldMs - pool.meanServiceMs);
+  pool.meanEstimateMs += weight * (estimateMs - pool.meanEstimateMs);
 }
--- a/src/core/admission/queue.ts
+++ b/src/core/admission/queue.ts
@@ -47,18 +47,18 @@
 }
 
 /** The request that goes next. */
-export function best(queue: OrganisationQueue): Entry | undefined {
+export function headEntry(queue: OrganisationQueue): Entry | undefined {
   const bucket = queue.buckets.find(isFilled);
   return bucket && peek(bucket.entries);
 }
 
 /** A request of the least dense bucket, and one that is not about to go. */
-export function worst(queue: OrganisationQueue): Entry | undefined {
+export function lastBucketTail(queue: OrganisationQueue): Entry | undefined {
   return queue.buckets.findLast(isFilled)?.entries.items.at(-1);
 }
 
 /** The most pressing request of the least dense bucket. */
-export function mostPressedOfWorst(queue: OrganisationQueue): Entry | undefined {
+export function lastBucketHead(queue: OrganisationQueue): Entry | undefined {
   const bucket = queue.buckets.findLast(isFilled);
   return bucket && peek(bucket.entries);
 }
@@ -76,7 +76,7 @@
 }
 
 /** Work per millisecond that comes in for buckets that go before this one. */
-export function arrivalsBefore(
+export function arrivalRateBefore(
   queue: OrganisationQueue,
   bucket: number,
   now: MonoTime,
--- a/src/core/admission/refusal.ts
+++ b/src/core/admission/refusal.ts
@@ -2,7 +2,7 @@
 
 import type { MonoTime } from '../ids';
 import { later } from '../ids';
-import type { ChanceContext } from '../random';
+import type { RandomContext } from '../random';
 import type { AdmissionOptions, RefusalCode, RefusalReason, Refused } from './types';
 
 const CODES: Readonly<Record<RefusalReason, RefusalCode>> = {
@@ -20,7 +20,7 @@
   reason: RefusalReason,
   afterMs: number,
   opts: AdmissionOptions,
-  { now, random }: ChanceContext,
+  { now, random }: RandomContext,
 ): Refused {
   const atLeast = Math.max(
     opts.minRetryMs,
--- a/src/core/admission/shedding.ts
+++ b/src/core/admission/shedding.ts
@@ -1,20 +1,20 @@
 /** What cannot be served in time, and what gives way to what. */
 
-import type { ChanceContext } from '../random';
+import type { RandomContext } from '../random';
 import { capacityAt, queuedWaitMs } from './estimate';
 import { peek } from './heap';
-import { backlogMs, giveUp } from './held';
+import { estimatedWaitMs, refuseQueued } from './held';
 import type { AdmissionPolicy } from './policies';
 import { queuedPerShare } from './pool';
-import { mostPressedOfWorst, worst } from './queue';
+import { lastBucketHead, lastBucketTail } from './queue';
 import type { AdmissionState, Entry, Pool, RefusalReason, RefusedRequest } from './types';
 
 /** Why a request may not even wait, if so. */
-export function whyNotQueue(
+export function queueRefusalReason(
   state: AdmissionState,
   entry: Entry,
   policy: AdmissionPolicy,
-  ctx: ChanceContext,
+  ctx: RandomContext,
 ): RefusalReason | undefined {
   if (!policy.queues) return 'queue-full';
   const { now } = ctx;
@@ -22,7 +22,7 @@
   if (from === undefined) return 'no-capacity';
   if (!policy.refusesEarly) return undefined;
   if (from > now) return from > entry.startBy ? 'no-capacity' : undefined;
-  const wait = backlogMs(state, entry, ctx) * state.opts.waitSafety;
+  const wait = estimatedWaitMs(state, entry, ctx) * state.opts.waitSafety;
   return now + wait > entry.startBy ? 'deadline-unreachable' : undefined;
 }
 
@@ -31,35 +31,35 @@
 }
 
 /** The queued request that gives way to this one in a full queue, if any should. */
-export function leastOf(entry: Entry, policy: AdmissionPolicy): Entry | undefined {
+export function selectVictim(entry: Entry, policy: AdmissionPolicy): Entry | undefined {
   if (!policy.displaces) return undefined;
   const { pool, account } = entry;
-  const fullest = peek(pool.fullest);
+  const fullest = peek(pool.byQueueLength);
   if (fullest !== undefined && fullest !== account) {
     const ownAfter = (account.queue.size + 1) / account.share;
-    if (ownAfter <= queuedPerShare(fullest)) return worst(fullest.queue);
+    if (ownAfter <= queuedPerShare(fullest)) return lastBucketTail(fullest.queue);
   }
-  const ownWorst = worst(account.queue);
+  const ownWorst = lastBucketTail(account.queue);
   return ownWorst !== undefined && ownWorst.bucket > entry.bucket ? ownWorst : undefined;
 }
 
 /** Gives up the least dense requests of the account that can no longer be in time. */
-export function shedHopeless(
+export function shedUnreachable(
   state: AdmissionState,
   added: Entry,
   refused: RefusedRequest[],
-  ctx: ChanceContext,
+  ctx: RandomContext,
 ): void {
   if (added.pool.slots === 0) return;
   const { queue } = added.account;
   for (
-    let entry = mostPressedOfWorst(queue);
+    let entry = lastBucketHead(queue);
     entry !== undefined;
-    entry = mostPressedOfWorst(queue)
+    entry = lastBucketHead(queue)
   ) {
     const startAt =
       ctx.now + queuedWaitMs(entry, { now: ctx.now, opts: state.opts }) * state.opts.waitSafety;
     if (entry === added || startAt <= entry.startBy) return;
-    refused.push(giveUp(state, entry, 'displaced', ctx));
+    refused.push(refuseQueued(state, entry, 'displaced', ctx));
   }
 }
--- a/src/core/admission/types.ts
+++ b/src/core/admission/types.ts
@@ -97,7 +97,7 @@
 }
 
 /** What became of queued requests in a step. */
-export interface Settled {
+export interface QueueUpdate {
   readonly state: AdmissionState;
   /** Queued before, admitted now; in this order. */
   readonly admitted: readonly RequestId[];
@@ -106,7 +106,7 @@
 }
 
 /** The verdict on a new request, and what it meant for queued ones. */
-export interface Admission extends Settled {
+export interface Admission extends QueueUpdate {
   readonly verdict: Verdict;
 }
 
@@ -176,21 +176,21 @@
   /** Sum of the shares of organisations with queued requests. */
   backloggedShare: number;
   /** Virtual time: the greatest start tag of a request that got a slot. */
-  virtual: number;
+  virtualTime: number;
   /** Moving averages of the time in a slot, measured and as estimated, milliseconds. */
-  servedMs: number;
-  estimatedMs: number;
+  meanServiceMs: number;
+  meanEstimateMs: number;
   /** Work that comes in, all organisations together. */
   readonly arrivals: Rate;
   /** When capacity is expected again; only while there is none. */
   expectedAt: MonoTime | undefined;
   readonly accounts: Map<OrganisationId, Account>;
   /** Organisations with queued requests, by start tag. */
-  readonly turn: Heap<Account>;
+  readonly byStartTag: Heap<Account>;
   /** The same, the longest queue for its share first. */
-  readonly fullest: Heap<Account>;
+  readonly byQueueLength: Heap<Account>;
   /** All queued entries, by the last instant at which they may start. */
-  readonly expiry: Heap<Entry>;
+  readonly byStartBy: Heap<Entry>;
 }
 
 /** State of admission. A mutable record that one loop owns; see `docs/ADMISSION.md`. */
--- a/src/core/config/check.ts
+++ b/src/core/config/check.ts
@@ -7,7 +7,7 @@
 import type { KeySource, OrganisationSource, ResolvedDocument, TemplateSource } from './document';
 
 /** One thing wrong with a document. */
-export interface FieldFault {
+export interface FieldError {
   /** As `organisations.rennes.replicas.stock-query` or `keys[3].hash`. */
   readonly path: string;
   readonly message: string;
@@ -31,7 +31,7 @@
   return path;
 }
 
-function fault(path: readonly PathPart[], message: string): FieldFault {
+function fault(path: readonly PathPart[], message: string): FieldError {
   return { path: joinPath(path), message };
 }
 
@@ -40,7 +40,7 @@
   return Object.hasOwn(record, key) ? record[key] : undefined;
 }
 
-function faultsOfIssue(issue: SchemaIssue): FieldFault[] {
+function faultsOfIssue(issue: SchemaIssue): FieldError[] {
   if (issue.code !== 'unrecognized_keys') {
     return [{ path: joinPath(issue.path), message: issue.message }];
   }
@@ -50,9 +50,9 @@
   }));
 }
 
-function checkModels(doc: ResolvedDocument): FieldFault[] {
+function checkModels(doc: ResolvedDocument): FieldError[] {
   const owners = new Map<string, string>();
-  const faults: FieldFault[] = [];
+  const faults: FieldError[] = [];
   for (const [templateName, template] of Object.entries(doc.templates)) {
     for (const model of Object.keys(template.models)) {
       const owner = owners.get(model);
@@ -69,9 +69,9 @@
   names: readonly string[],
   path: readonly PathPart[],
   allowed: (service: string) => string | undefined,
-): FieldFault[] {
+): FieldError[] {
   const seen = new Set<string>();
-  const faults: FieldFault[] = [];
+  const faults: FieldError[] = [];
   names.forEach((service, i) => {
     const message = seen.has(service) ? `service ${service} is listed twice` : allowed(service);
     seen.add(service);
@@ -80,7 +80,7 @@
   return faults;
 }
 
-function checkTemplateServices(doc: ResolvedDocument): FieldFault[] {
+function checkTemplateServices(doc: ResolvedDocument): FieldError[] {
   return Object.entries(doc.templates).flatMap(([name, template]) =>
     checkServiceNames(template.services, ['templates', name, 'services'], (service) =>
       entryOf(doc.services, service) ? undefined : `unknown service ${service}`,
@@ -92,7 +92,7 @@
   org: OrganisationSource,
   template: TemplateSource,
   path: readonly PathPart[],
-): FieldFault[] {
+): FieldError[] {
   const most = template.limits.replicas ?? Infinity;
   return Object.entries(org.replicas).flatMap(([model, replicas]) => {
     const at = [...path, 'replicas', model];
@@ -107,14 +107,14 @@
   org: OrganisationSource,
   template: TemplateSource,
   path: readonly PathPart[],
-): FieldFault[] {
+): FieldError[] {
   const { limits } = template;
   return Object.entries(org.classes).flatMap(([name, override]) => {
     const at = [...path, 'classes', name];
     if (!entryOf(template.classes, name)) {
       return [fault(at, `template ${org.template} has no class ${name}`)];
     }
-    const faults: FieldFault[] = [];
+    const faults: FieldError[] = [];
     if ((override.worth ?? 0) > (limits.worth ?? Infinity)) {
       faults.push(fault([...at, 'worth'], `template allows at most ${limits.worth ?? ''}`));
     }
@@ -130,7 +130,7 @@
   doc: ResolvedDocument,
   id: string,
   org: OrganisationSource,
-): FieldFault[] {
+): FieldError[] {
   const path = ['organisations', id];
   const template = entryOf(doc.templates, org.template);
   if (!template) return [fault([...path, 'template'], `unknown template ${org.template}`)];
@@ -151,7 +151,7 @@
   return faults;
 }
 
-function checkCallerKey(doc: ResolvedDocument, key: KeySource, path: PathPart[]): FieldFault[] {
+function checkCallerKey(doc: ResolvedDocument, key: KeySource, path: PathPart[]): FieldError[] {
   if (key.organisation === undefined) {
     return [fault([...path, 'organisation'], 'a caller key needs an organisation')];
   }
@@ -162,8 +162,8 @@
   return [fault([...path, 'class'], `organisation ${key.organisation} has no class ${key.class}`)];
 }
 
-function checkKey(doc: ResolvedDocument, key: KeySource, path: PathPart[]): FieldFault[] {
-  const faults: FieldFault[] = [];
+function checkKey(doc: ResolvedDocument, key: KeySource, path: PathPart[]): FieldError[] {
+  const faults: FieldError[] = [];
   if (key.organisation !== undefined && !entryOf(doc.organisations, key.organisation)) {
     faults.push(fault([...path, 'organisation'], `unknown organisation ${key.organisation}`));
   }
@@ -172,7 +172,7 @@
   return [...faults, fault([...path, 'class'], 'an operator key has no class')];
 }
 
-function checkKeys(doc: ResolvedDocument): FieldFault[] {
+function checkKeys(doc: ResolvedDocument): FieldError[] {
   const seen = new Map<string, number>();
   return doc.keys.flatMap((key, i) => {
     const first = seen.get(key.hash);
@@ -183,7 +183,7 @@
   });
 }
 
-function checkReferences(doc: ResolvedDocument): FieldFault[] {
+function checkReferences(doc: ResolvedDocument): FieldError[] {
   return [
     ...checkModels(doc),
     ...checkTemplateServices(doc),
@@ -193,7 +193,7 @@
 }
 
 /** The document with defaults filled in, or everything that is wrong with it. */
-export function checkDocument(json: unknown): Result<ResolvedDocument, readonly FieldFault[]> {
+export function checkDocument(json: unknown): Result<ResolvedDocument, readonly FieldError[]> {
   const parsed = documentSchema.safeParse(json);
   if (!parsed.success) return err(parsed.error.issues.flatMap(faultsOfIssue));
   const faults = checkReferences(parsed.data);
@@ -201,6 +201,6 @@
 }
 
 /** One line for an error message. */
-export function describeFaults(faults: readonly FieldFault[]): string {
+export function formatFieldErrors(faults: readonly FieldError[]): string {
   return faults.map(({ path, message }) => `${path || '(document)'}: ${message}`).join('; ');
 }
--- a/src/core/config/in-force.ts
+++ b/src/core/config/in-force.ts
@@ -11,7 +11,7 @@
 import type { Json } from '../json';
 import { createReducer, next } from '../reducer';
 import type { Step } from '../reducer';
-import { checkDocument, describeFaults } from './check';
+import { checkDocument, formatFieldErrors } from './check';
 import { applyDelta } from './delta';
 import type { Delta } from './delta';
 import { resolve } from './resolve';
@@ -20,38 +20,38 @@
 import type { Config } from './types';
 
 /** A version by its content. */
-export interface VersionMark {
+export interface VersionRef {
   readonly version: ConfigVersion;
   readonly hash: string;
 }
 
 export interface InForceState {
-  readonly mark: VersionMark;
+  readonly mark: VersionRef;
   readonly document: Json | undefined;
   readonly config: Config;
   /** Newest version that is known and not held. */
-  readonly wanted?: VersionMark;
+  readonly wanted?: VersionRef;
   /** A version that could not be used; not asked for again until the head moves. */
-  readonly refused?: VersionMark;
+  readonly refused?: VersionRef;
 }
 
 export type DocumentSource = 'table' | 'peer' | 'self';
 
 export type InForceEvent =
   /** The head as the table has it. */
-  | { readonly kind: 'head'; readonly mark: VersionMark }
+  | { readonly kind: 'head'; readonly mark: VersionRef }
   /** The head's row has a schema this daemon does not know. */
   | { readonly kind: 'unreadable'; readonly message: string }
   /** A peer tells of a version: what changed since `base`, or only that it exists. */
   | {
       readonly kind: 'pushed';
-      readonly mark: VersionMark;
-      readonly base?: VersionMark;
+      readonly mark: VersionRef;
+      readonly base?: VersionRef;
       readonly delta?: Delta;
     }
   | {
       readonly kind: 'document';
-      readonly mark: VersionMark;
+      readonly mark: VersionRef;
       readonly document: Json;
       readonly from: DocumentSource;
     };
@@ -60,7 +60,7 @@
   'config-unreadable' | 'config-corrupt' | 'config-invalid' | 'config-differs' | 'config-ahead';
 
 export type InForceEffect =
-  | { readonly kind: 'fetch'; readonly mark: VersionMark }
+  | { readonly kind: 'fetch'; readonly mark: VersionRef }
   | { readonly kind: 'in-force'; readonly config: Config }
   | { readonly kind: 'alarm'; readonly code: AlarmCode; readonly message: string };
 
@@ -106,11 +106,11 @@
   return alarm('config-differs', message);
 }
 
-function sameMark(a: VersionMark | undefined, b: VersionMark): boolean {
+function sameMark(a: VersionRef | undefined, b: VersionRef): boolean {
   return a?.version === b.version && a.hash === b.hash;
 }
 
-function seeHead(state: InForceState, mark: VersionMark): InForceStep {
+function seeHead(state: InForceState, mark: VersionRef): InForceStep {
   if (mark.version > state.mark.version) return want(state, mark);
   if (mark.version < state.mark.version || mark.hash === state.mark.hash) return next(state);
   return next(
@@ -120,16 +120,16 @@
   );
 }
 
-function want(state: InForceState, mark: VersionMark): InForceStep {
+function want(state: InForceState, mark: VersionRef): InForceStep {
   if (sameMark(state.refused, mark)) return next(state);
   const newest = state.wanted && state.wanted.version > mark.version ? state.wanted : mark;
   return next({ ...state, wanted: newest }, { kind: 'fetch', mark: newest });
 }
 
-function accept(state: InForceState, mark: VersionMark, document: Json): InForceStep {
+function accept(state: InForceState, mark: VersionRef, document: Json): InForceStep {
   const checked = checkDocument(document);
   if (checked.isErr()) {
-    const message = `version ${mark.version} is not valid here: ${describeFaults(checked.error)}`;
+    const message = `version ${mark.version} is not valid here: ${formatFieldErrors(checked.error)}`;
     return next({ ...state, refused: mark }, alarm('config-invalid', message));
   }
   const config = resolve(checked.value, mark.version);
--- a/src/core/config/push.ts
+++ b/src/core/config/push.ts
@@ -4,18 +4,18 @@
 import type { Json } from '../json';
 import { diffDocuments } from './delta';
 import type { Delta } from './delta';
-import type { InForceState, VersionMark } from './in-force';
+import type { InForceState, VersionRef } from './in-force';
 import { hashDocument } from './rows';
 
 /** A version, with what changed since `base` where that is small. */
 export interface Push {
-  readonly mark: VersionMark;
-  readonly base?: VersionMark;
+  readonly mark: VersionRef;
+  readonly base?: VersionRef;
   readonly delta?: Delta;
 }
 
 /** The push of a version accepted on the daemon whose state was `before`. */
-export function pushOf(
+export function createPush(
   before: InForceState,
   version: ConfigVersion,
   document: Json,
--- a/src/core/config/rows.ts
+++ b/src/core/config/rows.ts
@@ -22,9 +22,9 @@
 export const RECENT_KEY = 'config/recent';
 export const VERSION_PREFIX = 'config/v/';
 /** Versions kept for reading back. */
-export const VERSIONS_KEPT = 200;
+export const MAX_VERSIONS = 200;
 /** Change ids kept; a change id forgotten is refused by its `ifVersion`, never applied again. */
-export const RECENT_KEPT = 200;
+export const MAX_RECENT_CHANGES = 200;
 
 const VERSION_DIGITS = 12;
 
@@ -70,26 +70,26 @@
 });
 
 /** Why a row cannot be used. */
-export interface Unreadable {
+export interface UnreadableRow {
   readonly key: string;
   readonly message: string;
 }
 
-function parseRow<T>(row: StoredRow, shape: z.ZodType<T>): Result<T, Unreadable> {
+function parseRow<T>(row: StoredRow, shape: z.ZodType<T>): Result<T, UnreadableRow> {
   const parsed = shape.safeParse(row.value);
   if (parsed.success) return ok(parsed.data);
   return err({ key: row.key, message: 'unknown schema or damaged row' });
 }
 
-export function parseHead(row: StoredRow): Result<HeadRow, Unreadable> {
+export function parseHead(row: StoredRow): Result<HeadRow, UnreadableRow> {
   return parseRow(row, headRow);
 }
 
-export function parseVersionRow(row: StoredRow): Result<VersionRow, Unreadable> {
+export function parseVersionRow(row: StoredRow): Result<VersionRow, UnreadableRow> {
   return parseRow(row, versionRow);
 }
 
-export function parseRecent(row: StoredRow): Result<readonly RecentChange[], Unreadable> {
+export function parseRecent(row: StoredRow): Result<readonly RecentChange[], UnreadableRow> {
   return parseRow(row, recentRow).map((value) => value.changes);
 }
 
@@ -105,7 +105,7 @@
 export function recentValue(changes: readonly RecentChange[]): Json {
   return {
     schema: ROW_SCHEMA,
-    changes: changes.slice(-RECENT_KEPT).map((change) => ({ ...change })),
+    changes: changes.slice(-MAX_RECENT_CHANGES).map((change) => ({ ...change })),
   };
 }
 
--- a/src/core/config/submit.ts
+++ b/src/core/config/submit.ts
@@ -18,11 +18,11 @@
 import type { Json } from '../json';
 import { createReducer, next } from '../reducer';
 import type { Step } from '../reducer';
-import { checkDocument, describeFaults } from './check';
+import { checkDocument, formatFieldErrors } from './check';
 import {
   HEAD_KEY,
   RECENT_KEY,
-  VERSIONS_KEPT,
+  MAX_VERSIONS,
   hashDocument,
   headValue,
   parseHead,
@@ -31,8 +31,8 @@
   versionKey,
   versionValue,
 } from './rows';
-import type { HeadRow, RecentChange, StoredRow, Unreadable } from './rows';
-import { amendOwn } from './scope';
+import type { HeadRow, RecentChange, StoredRow, UnreadableRow } from './rows';
+import { mergeOwnParameters } from './scope';
 
 const FIRST_WAIT_MS = 50;
 const LONGEST_WAIT_MS = 1600;
@@ -68,7 +68,7 @@
 }
 
 /** What the table holds when a change is decided. */
-export interface TableView {
+export interface TableSnapshot {
   readonly head: StoredRow | undefined;
   readonly recent: StoredRow | undefined;
   /** Document of the head; only needed for an organisation's operator. */
@@ -96,7 +96,7 @@
 export type SubmitAnswer = Accepted | Refused;
 
 export type SubmitEvent =
-  | { readonly kind: 'read'; readonly view: TableView }
+  | { readonly kind: 'read'; readonly view: TableSnapshot }
   | { readonly kind: 'read-failed' }
   | { readonly kind: 'committed' }
   | { readonly kind: 'commit-failed'; readonly code: ErrorCode }
@@ -145,11 +145,11 @@
   return hashParts(canonicalText(change.document), change.organisation ?? '');
 }
 
-function decide(state: SubmitState, view: TableView): SubmitStep {
-  const head: Result<HeadRow | undefined, Unreadable> = view.head
+function decide(state: SubmitState, view: TableSnapshot): SubmitStep {
+  const head: Result<HeadRow | undefined, UnreadableRow> = view.head
     ? parseHead(view.head)
     : ok(undefined);
-  const recent: Result<readonly RecentChange[], Unreadable> = view.recent
+  const recent: Result<readonly RecentChange[], UnreadableRow> = view.recent
     ? parseRecent(view.recent)
     : ok([]);
   if (head.isErr() || recent.isErr()) {
@@ -163,7 +163,7 @@
 interface Known {
   readonly head: HeadRow | undefined;
   readonly changes: readonly RecentChange[];
-  readonly view: TableView;
+  readonly view: TableSnapshot;
 }
 
 function decideKnown(state: SubmitState, known: Known): SubmitStep {
@@ -201,7 +201,7 @@
     return refuse(state, 'body-too-large', message);
   }
   const checked = checkDocument(document);
-  if (checked.isErr()) return refuse(state, 'bad-request', describeFaults(checked.error));
+  if (checked.isErr()) return refuse(state, 'bad-request', formatFieldErrors(checked.error));
   const hash = hashDocument(document);
   if (known.head?.hash === hash) return commitNoChange(state, known.head, known, document);
   if (known.head && change.ifVersion === undefined) {
@@ -214,10 +214,10 @@
 function mergeDocument(change: Change, known: Known): Json | undefined {
   if (change.organisation === undefined) return change.document;
   if (known.view.document === undefined) return undefined;
-  return amendOwn(known.view.document, change.document, change.organisation);
+  return mergeOwnParameters(known.view.document, change.document, change.organisation);
 }
 
-function conditionsOn(view: TableView): SubmitTransaction['conditions'] {
+function conditionsOn(view: TableSnapshot): SubmitTransaction['conditions'] {
   return [
     { key: HEAD_KEY, version: view.head?.version ?? 0 },
     { key: RECENT_KEY, version: view.recent?.version ?? 0 },
@@ -254,7 +254,7 @@
     { key: HEAD_KEY, value: headValue(head) },
     recentWith(state, known, version),
     { key: versionKey(version), value: versionValue({ ...head, document }) },
-    ...(version > VERSIONS_KEPT ? [{ key: versionKey(version - VERSIONS_KEPT) }] : []),
+    ...(version > MAX_VERSIONS ? [{ key: versionKey(version - MAX_VERSIONS) }] : []),
   ];
   return commit(state, { version, document }, { conditions: conditionsOn(known.view), writes });
 }
--- a/src/core/explain/clocks.ts
+++ b/src/core/explain/clocks.ts
@@ -20,7 +20,7 @@
 }
 
 /** Milliseconds that each daemon's clock is ahead of that of `reference`; 0 where nothing is known. */
-export function estimateOffsets(
+export function estimateClockOffsets(
   lines: readonly LogLine[],
   reference: string,
 ): ReadonlyMap<string, number> {
--- a/src/core/explain/explain.ts
+++ b/src/core/explain/explain.ts
@@ -3,7 +3,7 @@
  * did about the groups and servers that it met, in one order of time.
  */
 
-import { estimateOffsets } from './clocks';
+import { estimateClockOffsets } from './clocks';
 import type { LogLine } from './log-line';
 
 /** A line in the common order of time. */
@@ -45,7 +45,7 @@
 const LINKS = ['group', 'server', 'head', 'model'] as const;
 
 /** Reads a line; undefined where it is none of a daemon's. */
-export function readLine(text: string): LogLine | undefined {
+export function parseLogLine(text: string): LogLine | undefined {
   // Log collectors put a prefix before the line.
   const start = text.indexOf('{');
   if (start < 0) return undefined;
@@ -96,7 +96,7 @@
   const own = lines.filter(({ fields }) => fields.requestId === requestId);
   const last = own.at(-1);
   if (!last) return [];
-  const offsets = estimateOffsets(lines, last.daemon);
+  const offsets = estimateClockOffsets(lines, last.daemon);
   const commonAt = (line: LogLine): number => line.at - (offsets.get(line.daemon) ?? 0);
   const handled = new Set(own.map(({ daemon }) => daemon));
   const subjects = collectSubjects(own, lines);
--- a/src/core/gateway/news.ts
+++ b/src/core/gateway/collection-updates.ts
@@ -7,11 +7,11 @@
  */
 
 import { isLater } from '../store-era';
-import type { Position } from '../store-era';
+import type { StorePosition } from '../store-era';
 
 export interface News<T> {
-  readonly since: Position;
-  readonly upTo: Position;
+  readonly since: StorePosition;
+  readonly upTo: StorePosition;
   readonly changes: readonly { readonly key: string; readonly value?: T }[];
 }
 
@@ -26,6 +26,6 @@
 }
 
 /** Whether whoever knows the collection up to `known` can go on from `since`. */
-export function reaches(known: Position, since: Position): boolean {
+export function reaches(known: StorePosition, since: StorePosition): boolean {
   return known.era === since.era && !isLater(since, known);
 }
--- a/src/core/groups/domain-types.ts
+++ b/src/core/groups/domain-types.ts
@@ -13,7 +13,7 @@
 import type {
   EngineReport,
   GroupRow,
-  InstanceFacts,
+  InstanceInfo,
   InstanceRow,
   Member,
   SlotRow,
@@ -48,59 +48,59 @@
 
 export interface DomainSettings {
   /** A member unheard of for this long counts as silent. */
-  readonly silentMs: number;
+  readonly unresponsiveMs: number;
   /** Policy `timeout`: replaced after this much silence. */
   readonly replaceAfterMs: number;
   /** Policy `preload`: a warm spare takes over after this much silence. */
   readonly confirmMs: number;
   /** Share of the domain's grouped instances silent at once that makes the domain dark. */
-  readonly darkShare: number;
+  readonly outageShare: number;
   /** A domain dark for this long is given up: its groups may form elsewhere. */
-  readonly darkGiveUpMs: number;
+  readonly outageDissolveMs: number;
   /** A group without a member, and without one to replace it, gives its instances back then. */
-  readonly giveUpMs: number;
+  readonly dissolveMs: number;
   /** Longest drain before a planned replacement or dissolution. */
-  readonly drainMs: number;
+  readonly drainTimeoutMs: number;
   /** Before the same order is sent again. */
   readonly orderRetryMs: number;
   /** Before an idle instance that still lacks weights is told again to fetch them. */
   readonly preloadRetryMs: number;
   /** Before a group that broke is started again with the next epoch. */
-  readonly restartMs: number;
+  readonly restartDelayMs: number;
   /** Members of the domain that may fetch weights at a time; left out: those of one group. */
   readonly maxLoads?: number;
   /** The same for all domains together, as far as their holders hear of each other. */
   readonly maxLoadsOverall: number;
   /** How much later each further domain tries for a free slot. */
-  readonly slotDelayMs: number;
+  readonly slotRankDelayMs: number;
   /** Rows are read again after this long, should another's write have been missed. */
-  readonly rereadMs: number;
+  readonly rowRefreshMs: number;
 }
 
 /** Fewer silent instances than this never make a domain dark. */
-export const DARK_MINIMUM = 3;
+export const MIN_OUTAGE_INSTANCES = 3;
 
 export const DOMAIN_SETTINGS: DomainSettings = {
-  silentMs: 3_000,
+  unresponsiveMs: 3_000,
   replaceAfterMs: 30_000,
   confirmMs: 5_000,
-  darkShare: 0.5,
-  darkGiveUpMs: 600_000,
-  giveUpMs: 180_000,
-  drainMs: 30_000,
+  outageShare: 0.5,
+  outageDissolveMs: 600_000,
+  dissolveMs: 180_000,
+  drainTimeoutMs: 30_000,
   orderRetryMs: 1_000,
   preloadRetryMs: 180_000,
-  restartMs: 1_000,
+  restartDelayMs: 1_000,
   maxLoadsOverall: 64,
-  slotDelayMs: 1_500,
-  rereadMs: 30_000,
+  slotRankDelayMs: 1_500,
+  rowRefreshMs: 30_000,
 };
 
 /** What is known of one instance of the domain. */
 export interface InstanceView {
-  readonly facts?: InstanceFacts;
+  readonly facts?: InstanceInfo;
   /** An operator's word, or a peer's, that it is leaving. */
-  readonly drained: boolean;
+  readonly isDrainRequested: boolean;
   readonly report?: EngineReport;
   /** When the probe that brought the report was sent. */
   readonly reportedAt?: MonoTime;
@@ -109,7 +109,7 @@
   /** Since when it gave no answer; absent while it does. */
   readonly silentSince?: MonoTime;
   /** Another daemon sees it well until then. */
-  readonly vouchedUntil?: MonoTime;
+  readonly peerConfirmedUntil?: MonoTime;
   /** The last order sent, and when it may be sent again. */
   readonly order?: SentOrder;
 }
@@ -172,7 +172,7 @@
       readonly row?: SlotRow;
     };
 
-export interface GuardedWrite {
+export interface ConditionalWrite {
   readonly write: GroupWrite;
   /** Version that the row must have; left out where the group's row guards it. */
   readonly version?: number;
@@ -183,7 +183,7 @@
   readonly id: number;
   readonly reason: string;
   readonly fenceVersion: number;
-  readonly writes: readonly GuardedWrite[];
+  readonly writes: readonly ConditionalWrite[];
 }
 
 /** An order as the core decides it; the adapter adds the authority. */
@@ -204,7 +204,7 @@
   | { readonly kind: 'leased'; readonly lease: DomainLease }
   | { readonly kind: 'unleased' }
   | { readonly kind: 'configured'; readonly models: Readonly<Record<ModelId, ModelPlan>> }
-  | { readonly kind: 'listed'; readonly instances: readonly InstanceFacts[] }
+  | { readonly kind: 'listed'; readonly instances: readonly InstanceInfo[] }
   | {
       readonly kind: 'read';
       readonly groups: readonly Versioned<GroupRow>[];
--- a/src/core/groups/domain.ts
+++ b/src/core/groups/domain.ts
@@ -20,7 +20,7 @@
   OpenSlot,
 } from './domain-types';
 import { planForming } from './forming';
-import { groupsOf, isDark, leavingMembers } from './health';
+import { groupsOf, isDomainDown, leavingMembers } from './health';
 import { planGroups } from './lifecycle';
 import { planOrders } from './orders';
 import { applyTransaction, slotKey } from './rows';
@@ -29,8 +29,8 @@
   onReported,
   onSilent,
   onVouched,
-  withFacts,
-  withSilenceFrom,
+  withInfo,
+  restartSilence,
   withView,
 } from './sightings';
 import type { Versioned } from './types';
@@ -78,7 +78,7 @@
 function onLeased(state: DomainState, { lease }: EventOf<'leased'>, now: MonoTime): DomainStep {
   if (state.lease?.fencing === lease.fencing) return next({ ...state, lease });
   // Silence from before is no silence: this daemon may have been paused, and probed nobody.
-  const begun = withSilenceFrom(withoutPending(state), now);
+  const begun = restartSilence(withoutPending(state), now);
   return next({ ...begun, lease, rows: 'unread' });
 }
 
@@ -91,7 +91,7 @@
   const grouped = groupsOf(state).flatMap(({ members }) => members.map((one) => one.instance));
   const kept = new Set([...facts.keys(), ...grouped]);
   const instances: Record<InstanceId, InstanceView> = {};
-  for (const id of kept) instances[id] = withFacts(state.instances[id] ?? NO_VIEW, facts.get(id));
+  for (const id of kept) instances[id] = withInfo(state.instances[id] ?? NO_VIEW, facts.get(id));
   const isNew = [...facts.keys()].some((id) => state.instanceRows[id] === undefined);
   const rows = isNew && state.rows === 'read' ? 'unread' : state.rows;
   return next({ ...state, instances, rows });
@@ -168,7 +168,7 @@
   const restartAt = { ...state.restartAt };
   for (const { write } of tx.writes) {
     if (write.kind !== 'group') continue;
-    if (write.row) restartAt[write.id] = later(now, state.settings.restartMs);
+    if (write.row) restartAt[write.id] = later(now, state.settings.restartDelayMs);
     else Reflect.deleteProperty(restartAt, write.id);
   }
   return { ...state, restartAt };
@@ -191,13 +191,13 @@
   const drainUntil: Record<GroupId, MonoTime> = {};
   for (const row of groupsOf(state)) {
     if (row.phase !== 'draining' && leavingMembers(state, row).length === 0) continue;
-    drainUntil[row.id] = state.drainUntil[row.id] ?? later(now, state.settings.drainMs);
+    drainUntil[row.id] = state.drainUntil[row.id] ?? later(now, state.settings.drainTimeoutMs);
   }
   const { darkSince } = state;
-  if (isDark(state, now)) return { ...state, drainUntil, darkSince: darkSince ?? now };
+  if (isDomainDown(state, now)) return { ...state, drainUntil, darkSince: darkSince ?? now };
   if (darkSince === undefined) return { ...state, drainUntil };
   // The domain is coming back: members that come a little later than the rest are not yet lost.
-  return { ...omit(withSilenceFrom(state, now), 'darkSince'), drainUntil };
+  return { ...omit(restartSilence(state, now), 'darkSince'), drainUntil };
 }
 
 function readRows(state: DomainState): DomainStep {
@@ -210,7 +210,7 @@
 
 function onTick(state: DomainState, now: MonoTime): DomainStep {
   if (!mayDecide(state, now) || state.rows === 'reading') return next(state);
-  const isOld = now >= later(state.readAt, state.settings.rereadMs);
+  const isOld = now >= later(state.readAt, state.settings.rowRefreshMs);
   if (state.rows === 'unread' || (isOld && !state.pending)) {
     return now < state.retryAt ? next(state) : readRows(state);
   }
@@ -263,7 +263,7 @@
   silent: onSilent,
   vouched: onVouched,
   drain: (state, { instance }) =>
-    next(withView(state, instance, (view) => ({ ...view, drained: true }))),
+    next(withView(state, instance, (view) => ({ ...view, isDrainRequested: true }))),
   slots: (state, event, { now }) => onSlots(state, event, now),
   committed: (state, event, { now }) => onCommitted(state, event, now),
   refused: (state, event, { now }) => onRefused(state, event, now),
--- a/src/core/groups/expect.ts
+++ b/src/core/groups/forming-estimates.ts
@@ -15,19 +15,19 @@
   readonly since: MonoTime;
 }
 
-export interface Expectations {
+export interface FormingEstimates {
   readonly forming: Readonly<Record<GroupId, Forming>>;
   readonly meanMs: Readonly<Record<ModelId, number>>;
 }
 
-export const NO_EXPECTATIONS: Expectations = { forming: {}, meanMs: {} };
+export const NO_FORMING_ESTIMATES: FormingEstimates = { forming: {}, meanMs: {} };
 
 /** Notes which groups are forming now; forgets those that are gone. */
-export function noteForming(
-  state: Expectations,
+export function trackForming(
+  state: FormingEstimates,
   rows: readonly GroupRow[],
   now: MonoTime,
-): Expectations {
+): FormingEstimates {
   const forming: Record<GroupId, Forming> = {};
   for (const { id, epoch, model, phase } of rows) {
     if (phase !== 'forming') continue;
@@ -38,7 +38,7 @@
 }
 
 /** Learns from a group that became routable. */
-export function noteReady(state: Expectations, group: GroupId, now: MonoTime): Expectations {
+export function recordFormingTime(state: FormingEstimates, group: GroupId, now: MonoTime): FormingEstimates {
   const known = state.forming[group];
   if (!known) return state;
   const took = now - known.since;
@@ -48,8 +48,8 @@
 }
 
 /** The earliest instant at which a forming group of the model should serve. */
-export function expectedAt(
-  state: Expectations,
+export function estimateReadyAt(
+  state: FormingEstimates,
   model: ModelId,
   now: MonoTime,
 ): MonoTime | undefined {
--- a/src/core/groups/forming.ts
+++ b/src/core/groups/forming.ts
@@ -2,9 +2,9 @@
 
 import { later } from '../ids';
 import type { Epoch, GroupId, MonoTime } from '../ids';
-import { CHOOSE, SPARES } from './policies';
+import { CHOOSE_POLICIES, SPARE_POLICIES } from './policies';
 import type { DomainState, GroupTransaction, ModelPlan, OpenSlot } from './domain-types';
-import { groupsOf, isWanted, leavingMembers, memberOf, missingMembers } from './health';
+import { groupsOf, isWanted, leavingMembers, memberOf, unresponsiveMembers } from './health';
 import { formGroup, slotKey } from './rows';
 
 /** A soft reserve is given up only after the domains that need not do so had their turn. */
@@ -28,13 +28,13 @@
 function formIn(state: DomainState, slot: OpenSlot, now: MonoTime): GroupTransaction | undefined {
   const plan = state.models[slot.model];
   if (!plan || !state.lease) return undefined;
-  const free = CHOOSE[plan.policies.choose](state, plan, now);
+  const free = CHOOSE_POLICIES[plan.policies.choose](state, plan, now);
   const left = free.length - plan.membersPerReplica - neededByGroups(state, now);
-  const reserve = SPARES[plan.policies.spares];
-  if (left < (reserve.firm ? reserve.count : 0)) return undefined;
+  const reserve = SPARE_POLICIES[plan.policies.spares];
+  if (left < (reserve.isHard ? reserve.count : 0)) return undefined;
   const turns = slot.rank + (left < reserve.count ? SOFT_RESERVE_TURNS : 0);
   const since = state.openSince[slotKey(slot.model, slot.slot)] ?? now;
-  if (now < later(since, turns * state.settings.slotDelayMs)) return undefined;
+  if (now < later(since, turns * state.settings.slotRankDelayMs)) return undefined;
   const members = free.slice(0, plan.membersPerReplica).map((id) => memberOf(state, id));
   return formGroup(state, newRow(state, plan, slot, members), state.lease.fenceVersion);
 }
@@ -44,7 +44,7 @@
   const rows = groupsOf(state).filter((row) => row.phase !== 'draining' && isWanted(state, row));
   return rows.reduce(
     (sum, row) =>
-      sum + new Set([...missingMembers(state, row, now), ...leavingMembers(state, row)]).size,
+      sum + new Set([...unresponsiveMembers(state, row, now), ...leavingMembers(state, row)]).size,
     0,
   );
 }
--- a/src/core/groups/health.ts
+++ b/src/core/groups/health.ts
@@ -1,7 +1,7 @@
 /** What the holder makes of the reports of a group's members. */
 
 import type { GroupId, InstanceId, ModelId, MonoTime } from '../ids';
-import { DARK_MINIMUM } from './domain-types';
+import { MIN_OUTAGE_INSTANCES } from './domain-types';
 import type { DomainState, InstanceView, ModelPlan } from './domain-types';
 import type { GroupRow, Member } from './types';
 
@@ -19,7 +19,7 @@
   now: MonoTime,
 ): MemberHealth {
   const view = state.instances[instance];
-  if (view && silentFor(state, view, now) !== undefined) return 'silent';
+  if (view && unresponsiveFor(state, view, now) !== undefined) return 'silent';
   const report = view?.report;
   if (!report) return 'unknown';
   if (report.group !== row.id || report.epoch !== row.epoch) return 'astray';
@@ -28,25 +28,25 @@
 }
 
 /** How long an instance has been silent, milliseconds; undefined while that is not settled. */
-export function silentFor(
+export function unresponsiveFor(
   state: DomainState,
   view: InstanceView,
   now: MonoTime,
 ): number | undefined {
   if (view.silentSince === undefined) return undefined;
   const silence = now - view.silentSince;
-  if (silence < state.settings.silentMs) return undefined;
-  return view.vouchedUntil !== undefined && now < view.vouchedUntil ? undefined : silence;
+  if (silence < state.settings.unresponsiveMs) return undefined;
+  return view.peerConfirmedUntil !== undefined && now < view.peerConfirmedUntil ? undefined : silence;
 }
 
 export function isLeaving(view: InstanceView | undefined): boolean {
   if (!view) return false;
-  return view.drained || view.report?.leaving === true || view.facts?.leaving === true;
+  return view.isDrainRequested || view.report?.leaving === true || view.facts?.leaving === true;
 }
 
 /** Off the platform's list and silent: it will not come back. */
-export function isGone(state: DomainState, view: InstanceView | undefined, now: MonoTime): boolean {
-  return view !== undefined && !view.facts && silentFor(state, view, now) !== undefined;
+export function isRemoved(state: DomainState, view: InstanceView | undefined, now: MonoTime): boolean {
+  return view !== undefined && !view.facts && unresponsiveFor(state, view, now) !== undefined;
 }
 
 /** Held by no group by its row and by its own fresh report, and fit to join one. */
@@ -56,7 +56,7 @@
   if (!view?.facts || !report || view.reportedAt === undefined) return false;
   if (state.instanceRows[instance]?.row.group !== undefined) return false;
   if (isLeaving(view) || view.silentSince !== undefined) return false;
-  if (now - view.reportedAt > state.settings.silentMs) return false;
+  if (now - view.reportedAt > state.settings.unresponsiveMs) return false;
   return report.group === undefined && (report.state === 'idle' || report.state === 'loading');
 }
 
@@ -87,7 +87,7 @@
 }
 
 /** Members that keep the group from serving until they are replaced or come back. */
-export function missingMembers(
+export function unresponsiveMembers(
   state: DomainState,
   row: GroupRow,
   now: MonoTime,
@@ -113,19 +113,19 @@
   });
 }
 
-export function serves(state: DomainState, row: GroupRow, now: MonoTime): boolean {
+export function isServing(state: DomainState, row: GroupRow, now: MonoTime): boolean {
   return row.members.every(({ instance }) => healthOf(state, row, instance, now) === 'well');
 }
 
 /** Whether so many instances fell silent together that the fault is the domain's, or our own. */
-export function isDark(state: DomainState, now: MonoTime): boolean {
+export function isDomainDown(state: DomainState, now: MonoTime): boolean {
   const grouped = Object.values<{ row: GroupRow }>(state.groups).flatMap(({ row }) => row.members);
   const silent = grouped.filter(({ instance }) => {
     const view = state.instances[instance];
-    return view !== undefined && silentFor(state, view, now) !== undefined;
+    return view !== undefined && unresponsiveFor(state, view, now) !== undefined;
   });
-  if (silent.length < DARK_MINIMUM) return false;
-  return silent.length > grouped.length * state.settings.darkShare;
+  if (silent.length < MIN_OUTAGE_INSTANCES) return false;
+  return silent.length > grouped.length * state.settings.outageShare;
 }
 
 /** Groups of the domain, by id. */
--- a/src/core/groups/lifecycle.ts
+++ b/src/core/groups/lifecycle.ts
@@ -2,21 +2,21 @@
 
 import { later } from '../ids';
 import type { Epoch, InstanceId, MonoTime } from '../ids';
-import { CHOOSE, REPLACE, lenderFor } from './policies';
+import { CHOOSE_POLICIES, REPLACE_POLICIES, findLender } from './policies';
 import type { DomainState, GroupTransaction } from './domain-types';
 import {
   groupsOf,
   healthOf,
   isDrained,
-  isGone,
+  isRemoved,
   isWanted,
   isWarm,
   leavingMembers,
   memberOf,
-  missingMembers,
+  unresponsiveMembers,
   planOf,
-  serves,
-  silentFor,
+  isServing,
+  unresponsiveFor,
 } from './health';
 import { changeGroup, dissolveGroup } from './rows';
 import type { GroupRow } from './types';
@@ -70,25 +70,25 @@
 /** Groups whose size alone has changed give way one after the other, so that some always serve. */
 function mustWaitItsTurn(state: DomainState, row: GroupRow, now: MonoTime): boolean {
   const plan = planOf(state, row);
-  if (!plan || (row.slot ?? 0) >= plan.replicas || !serves(state, row, now)) return false;
+  if (!plan || (row.slot ?? 0) >= plan.replicas || !isServing(state, row, now)) return false;
   const others = groupsOf(state).filter(({ id, model }) => model === row.model && id !== row.id);
   const isOpen = state.openSlots.some(({ model }) => model === row.model);
-  return isOpen || others.some((other) => other.phase !== 'serving' || !serves(state, other, now));
+  return isOpen || others.some((other) => other.phase !== 'serving' || !isServing(state, other, now));
 }
 
 function replaceSilent(state: DomainState, row: GroupRow, now: MonoTime) {
   if (row.phase === 'draining') return undefined;
-  const missing = missingMembers(state, row, now);
+  const missing = unresponsiveMembers(state, row, now);
   const plan = planOf(state, row);
   if (missing.length === 0 || !plan) return undefined;
-  const chosen = CHOOSE[plan.policies.choose](state, plan, now);
+  const chosen = CHOOSE_POLICIES[plan.policies.choose](state, plan, now);
   const silences = missing.map((id) => silenceOf(state, id, now));
   const due = missing.every((id, i) => {
-    if (isGone(state, state.instances[id], now)) return true;
+    if (isRemoved(state, state.instances[id], now)) return true;
     const spare = chosen[i];
     const warm = spare !== undefined && isWarm(state, spare, plan.id);
     const found = { silentMs: silences[i] ?? 0, warm, settings: state.settings };
-    return REPLACE[plan.policies.replace](found);
+    return REPLACE_POLICIES[plan.policies.replace](found);
   });
   if (due && chosen.length >= missing.length) return swap(state, row, missing, chosen, 'replace');
   if (chosen.length >= missing.length) return undefined;
@@ -97,14 +97,14 @@
 
 function silenceOf(state: DomainState, id: InstanceId, now: MonoTime): number {
   const view = state.instances[id];
-  return (view && silentFor(state, view, now)) ?? 0;
+  return (view && unresponsiveFor(state, view, now)) ?? 0;
 }
 
 /** No free instance: take them from a group of less value, or give the survivors back. */
 function borrow(state: DomainState, row: GroupRow, silence: number, now: MonoTime) {
-  const lender = lenderFor(state, row, groupsOf(state), silence, now);
+  const lender = findLender(state, row, groupsOf(state), silence, now);
   if (lender) return changeGroup(state, lender.id, { phase: 'draining' }, 'lend');
-  if (silence < state.settings.giveUpMs) return undefined;
+  if (silence < state.settings.dissolveMs) return undefined;
   return dissolveGroup(state, row.id, 'given-up');
 }
 
@@ -113,7 +113,7 @@
   const leaving = leavingMembers(state, row);
   const plan = planOf(state, row);
   if (row.phase === 'draining' || leaving.length === 0 || !plan) return undefined;
-  const chosen = CHOOSE[plan.policies.choose](state, plan, now);
+  const chosen = CHOOSE_POLICIES[plan.policies.choose](state, plan, now);
   if (chosen.length < leaving.length || !isDrainOver(state, row, now)) return undefined;
   return swap(state, row, leaving, chosen, 'leaving');
 }
@@ -148,7 +148,7 @@
   const cold = row.members
     .map(({ instance }) => instance)
     .filter((id) => healthOf(state, row, id, now) === 'astray' && !isWarm(state, id, plan.id));
-  const warm = CHOOSE[plan.policies.choose](state, plan, now).filter((id) =>
+  const warm = CHOOSE_POLICIES[plan.policies.choose](state, plan, now).filter((id) =>
     isWarm(state, id, plan.id),
   );
   if (plan.policies.choose === 'lowest-id' || cold.length === 0) return undefined;
@@ -156,15 +156,15 @@
 }
 
 function confirmServing(state: DomainState, row: GroupRow, now: MonoTime) {
-  if (row.phase !== 'forming' || !serves(state, row, now)) return undefined;
+  if (row.phase !== 'forming' || !isServing(state, row, now)) return undefined;
   return changeGroup(state, row.id, { phase: 'serving' }, 'serving');
 }
 
 /** A domain dark for long: its groups may form elsewhere. */
 function giveUpDark(state: DomainState, row: GroupRow, now: MonoTime) {
   if (state.darkSince === undefined) return undefined;
-  if (now < later(state.darkSince, state.settings.darkGiveUpMs)) return undefined;
-  const allSilent = missingMembers(state, row, now).length === row.members.length;
+  if (now < later(state.darkSince, state.settings.outageDissolveMs)) return undefined;
+  const allSilent = unresponsiveMembers(state, row, now).length === row.members.length;
   return allSilent ? dissolveGroup(state, row.id, 'dark') : undefined;
 }
 
--- a/src/core/groups/sightings.ts
+++ b/src/core/groups/observations.ts
@@ -5,12 +5,12 @@
 import { next } from '../reducer';
 import type { Step } from '../reducer';
 import type { DomainEffect, DomainEvent, DomainState, InstanceView } from './domain-types';
-import type { EngineReport, InstanceFacts } from './types';
+import type { EngineReport, InstanceInfo } from './types';
 
 type DomainStep = Step<DomainState, DomainEffect>;
 type EventOf<K extends DomainEvent['kind']> = Extract<DomainEvent, { kind: K }>;
 
-export const NO_VIEW: InstanceView = { drained: false };
+export const NO_VIEW: InstanceView = { isDrainRequested: false };
 
 export function withView(
   state: DomainState,
@@ -22,7 +22,7 @@
 }
 
 /** Counts the silence of all who are silent from `now` on. */
-export function withSilenceFrom(state: DomainState, now: MonoTime): DomainState {
+export function restartSilence(state: DomainState, now: MonoTime): DomainState {
   const instances: Record<InstanceId, InstanceView> = { ...state.instances };
   for (const id of Object.keys(instances) as InstanceId[]) {
     const view = instances[id];
@@ -31,7 +31,7 @@
   return { ...state, instances };
 }
 
-export function withFacts(view: InstanceView, facts: InstanceFacts | undefined): InstanceView {
+export function withInfo(view: InstanceView, facts: InstanceInfo | undefined): InstanceView {
   return facts ? { ...view, facts } : omit(view, 'facts');
 }
 
@@ -69,7 +69,7 @@
   const members = state.groups[event.group]?.row.members ?? [];
   const after = members.reduce(
     (acc, { instance }) =>
-      withView(acc, instance, (view) => ({ ...view, vouchedUntil: event.until })),
+      withView(acc, instance, (view) => ({ ...view, peerConfirmedUntil: event.until })),
     state,
   );
   return next(after);
--- a/src/core/groups/orders.ts
+++ b/src/core/groups/orders.ts
@@ -4,7 +4,7 @@
  */
 
 import type { InstanceId, ModelId, MonoTime } from '../ids';
-import { CHOOSE, LOADS, SPARES } from './policies';
+import { CHOOSE_POLICIES, LOAD_POLICIES, SPARE_POLICIES } from './policies';
 import type { DomainState, InstanceView, ModelPlan, PlannedOrder } from './domain-types';
 import {
   freeInstances,
@@ -12,18 +12,18 @@
   healthOf,
   isWarm,
   leavingMembers,
-  missingMembers,
+  unresponsiveMembers,
   planOf,
 } from './health';
 import type { GroupRow } from './types';
 
-export interface OrderTo {
+export interface AddressedOrder {
   readonly instance: InstanceId;
   readonly order: PlannedOrder;
 }
 
 /** All orders that the domain's engines need now; those sent a moment ago included. */
-export function planOrders(state: DomainState, now: MonoTime): readonly OrderTo[] {
+export function planOrders(state: DomainState, now: MonoTime): readonly AddressedOrder[] {
   const rows = inLoadOrder(state);
   const joins = joinOrders(state, rows, now);
   return [
@@ -37,7 +37,7 @@
 function inLoadOrder(state: DomainState): readonly GroupRow[] {
   const rows = groupsOf(state);
   const first = rows.map((row) => planOf(state, row)).find((plan) => plan !== undefined);
-  return first ? LOADS[first.policies.loads](state, rows) : rows;
+  return first ? LOAD_POLICIES[first.policies.loads](state, rows) : rows;
 }
 
 function isUnheard(state: DomainState, instance: InstanceId): boolean {
@@ -46,7 +46,7 @@
 }
 
 /** Instances fetching weights now, here, as far as their reports tell or their orders. */
-export function loadsHere(state: DomainState, now: MonoTime): number {
+export function countLoads(state: DomainState, now: MonoTime): number {
   const views = Object.values<DomainState['instances'][InstanceId]>(state.instances);
   return views.filter((view) => isFetching(view, now)).length;
 }
@@ -72,9 +72,9 @@
   state: DomainState,
   rows: readonly GroupRow[],
   now: MonoTime,
-): readonly OrderTo[] {
-  const orders: OrderTo[] = [];
-  let budget = loadLimit(state) - loadsHere(state, now);
+): readonly AddressedOrder[] {
+  const orders: AddressedOrder[] = [];
+  let budget = loadLimit(state) - countLoads(state, now);
   for (const row of rows) {
     if (row.phase === 'draining') continue;
     for (const order of joinsOf(state, row, now)) {
@@ -98,7 +98,7 @@
 }
 
 /** Rank 0 goes last: it watches the others from the moment it joins. */
-function joinsOf(state: DomainState, row: GroupRow, now: MonoTime): readonly OrderTo[] {
+function joinsOf(state: DomainState, row: GroupRow, now: MonoTime): readonly AddressedOrder[] {
   const joined = row.members.map(({ instance }) =>
     ['well', 'loading', 'draining'].includes(healthOf(state, row, instance, now)),
   );
@@ -118,7 +118,7 @@
   return { kind: 'join', group: id, epoch, model, rank, members };
 }
 
-function drainOrders(state: DomainState, row: GroupRow, now: MonoTime): readonly OrderTo[] {
+function drainOrders(state: DomainState, row: GroupRow, now: MonoTime): readonly AddressedOrder[] {
   if (row.phase !== 'draining' && leavingMembers(state, row).length === 0) return [];
   return row.members.flatMap(({ instance }) => {
     const runs = healthOf(state, row, instance, now) === 'well';
@@ -128,7 +128,7 @@
 }
 
 /** Instances that hold a group though their row says that none holds them. */
-function releaseOrders(state: DomainState): readonly OrderTo[] {
+function releaseOrders(state: DomainState): readonly AddressedOrder[] {
   const ids = Object.keys(state.instances) as InstanceId[];
   return ids.flatMap((instance) => {
     const row = state.instanceRows[instance]?.row;
@@ -136,7 +136,7 @@
   });
 }
 
-function releaseOf(state: DomainState, instance: InstanceId): readonly OrderTo[] {
+function releaseOf(state: DomainState, instance: InstanceId): readonly AddressedOrder[] {
   const report = state.instances[instance]?.report;
   if (isUnheard(state, instance) || report?.group === undefined) return [];
   const { group, epoch } = report;
@@ -148,7 +148,7 @@
   state: DomainState,
   rows: readonly GroupRow[],
   now: MonoTime,
-): readonly OrderTo[] {
+): readonly AddressedOrder[] {
   if (state.darkSince !== undefined) return [];
   const wanted = new Map<InstanceId, ModelId>();
   for (const row of rows) wantReplacements(state, row, now, wanted);
@@ -170,8 +170,8 @@
 ): void {
   const plan = planOf(state, row);
   if (plan?.policies.replace !== 'preload') return;
-  const needed = new Set([...missingMembers(state, row, now), ...leavingMembers(state, row)]).size;
-  const free = CHOOSE[plan.policies.choose](state, plan, now).filter((id) => !wanted.has(id));
+  const needed = new Set([...unresponsiveMembers(state, row, now), ...leavingMembers(state, row)]).size;
+  const free = CHOOSE_POLICIES[plan.policies.choose](state, plan, now).filter((id) => !wanted.has(id));
   for (const id of free.slice(0, needed)) wanted.set(id, plan.id);
 }
 
@@ -184,7 +184,7 @@
 ): void {
   const plans = rows.flatMap((row) => planOf(state, row) ?? []);
   const kept = plans
-    .filter((plan) => SPARES[plan.policies.spares].warm)
+    .filter((plan) => SPARE_POLICIES[plan.policies.spares].warm)
     .sort((a, b) => b.weights.downtime - a.weights.downtime)[0];
   if (!kept) return;
   const free = freeInstances(state, now).filter((id) => !wanted.has(id));
--- a/src/core/groups/policies.ts
+++ b/src/core/groups/policies.ts
@@ -5,7 +5,7 @@
 
 import type { ModelSpec } from '../config/types';
 import type { InstanceId, MonoTime } from '../ids';
-import { freeInstances, isWarm, missingMembers, planOf, serves } from './health';
+import { freeInstances, isWarm, unresponsiveMembers, planOf, isServing } from './health';
 import type {
   ChoosePolicy,
   DomainSettings,
@@ -19,7 +19,7 @@
 import type { GroupRow } from './types';
 
 /** What is known when a member is silent and an instance could replace it. */
-export interface ReplaceCase {
+export interface ReplacementCase {
   readonly silentMs: number;
   /** Whether the instance that would replace it holds the weights. */
   readonly warm: boolean;
@@ -27,7 +27,7 @@
 }
 
 /** Whether to replace now; otherwise the member may still come back. */
-export const REPLACE: Readonly<Record<ReplacePolicy, (found: ReplaceCase) => boolean>> = {
+export const REPLACE_POLICIES: Readonly<Record<ReplacePolicy, (found: ReplacementCase) => boolean>> = {
   timeout: ({ silentMs, settings }) => silentMs >= settings.replaceAfterMs,
   // A cold spare fetches weights while the member may still return; whichever is first serves.
   preload: ({ silentMs, warm, settings }) =>
@@ -36,7 +36,7 @@
 };
 
 /** Free instances in the order in which they should be used for a model. */
-export const CHOOSE: Readonly<
+export const CHOOSE_POLICIES: Readonly<
   Record<
     ChoosePolicy,
     (state: DomainState, plan: ModelPlan, now: MonoTime) => readonly InstanceId[]
@@ -62,7 +62,7 @@
  * The group whose members help `row` most when the domain has no free instance: one that cannot
  * serve either, or, once the silence is long, a serving one of lower value.
  */
-export function lenderFor(
+export function findLender(
   state: DomainState,
   row: GroupRow,
   rows: readonly GroupRow[],
@@ -78,7 +78,7 @@
   const idle = byWorth.find((other) => isBrokenLender(state, row, other, now));
   if (idle || silence < state.settings.replaceAfterMs) return idle;
   return byWorth.find(
-    (other) => worthOf(state, other) < worthOf(state, row) && serves(state, other, now),
+    (other) => worthOf(state, other) < worthOf(state, row) && isServing(state, other, now),
   );
 }
 
@@ -89,13 +89,13 @@
   other: GroupRow,
   now: MonoTime,
 ): boolean {
-  const missing = missingMembers(state, other, now).length;
+  const missing = unresponsiveMembers(state, other, now).length;
   if (missing === 0 || missing === other.members.length) return false;
   return worthOf(state, other) < worthOf(state, row) || other.id > row.id;
 }
 
 /** Order in which groups fetch their weights; the first goes first. */
-export const LOADS: Readonly<
+export const LOAD_POLICIES: Readonly<
   Record<LoadPolicy, (state: DomainState, rows: readonly GroupRow[]) => readonly GroupRow[]>
 > = {
   arrival: (_state, rows) => rows,
@@ -113,15 +113,15 @@
 export interface Reserve {
   readonly count: number;
   /** Kept even if a replica then cannot be formed. */
-  readonly firm: boolean;
+  readonly isHard: boolean;
   /** Whether kept instances fetch weights ahead. */
   readonly warm: boolean;
 }
 
-export const SPARES: Readonly<Record<SparePolicy, Reserve>> = {
-  none: { count: 0, firm: false, warm: false },
-  one: { count: 1, firm: true, warm: false },
-  warm: { count: 1, firm: false, warm: true },
+export const SPARE_POLICIES: Readonly<Record<SparePolicy, Reserve>> = {
+  none: { count: 0, isHard: false, warm: false },
+  one: { count: 1, isHard: true, warm: false },
+  warm: { count: 1, isHard: false, warm: true },
 };
 
 /** Downtime weighs more than this many stranded accelerators: keep warm spares. */
@@ -140,10 +140,10 @@
   const spares: SparePolicy = downtime > stranded * DOWNTIME_HEAVY ? 'warm' : 'none';
   const named = spec.policies;
   return {
-    replace: pick(REPLACE, named.replace, DEFAULTS.replace),
-    choose: pick(CHOOSE, named.choose, DEFAULTS.choose),
-    loads: pick(LOADS, named.loads, DEFAULTS.loads),
-    spares: pick(SPARES, named.spares, spares),
+    replace: pick(REPLACE_POLICIES, named.replace, DEFAULTS.replace),
+    choose: pick(CHOOSE_POLICIES, named.choose, DEFAULTS.choose),
+    loads: pick(LOAD_POLICIES, named.loads, DEFAULTS.loads),
+    spares: pick(SPARE_POLICIES, named.spares, spares),
   };
 }
 
--- a/src/core/groups/rank.ts
+++ b/src/core/groups/rank.ts
@@ -31,14 +31,14 @@
 }
 
 /** A candidate with the hash of its id, made once for all roles. */
-export interface Hashed<C extends Candidate> {
+export interface HashedCandidate<C extends Candidate> {
   readonly candidate: C;
   readonly hash: number;
 }
 
-export type Candidates<C extends Candidate> = readonly Hashed<C>[];
+export type Candidates<C extends Candidate> = readonly HashedCandidate<C>[];
 
-export function hashAll<C extends Candidate>(candidates: readonly C[]): Candidates<C> {
+export function hashCandidates<C extends Candidate>(candidates: readonly C[]): Candidates<C> {
   return candidates.map((candidate) => ({ candidate, hash: mix(hashText(candidate.id)) }));
 }
 
@@ -48,7 +48,7 @@
   readonly score: number;
 }
 
-function placeOf(role: number, { candidate, hash }: Hashed<Candidate>, zone?: string): Place {
+function placeOf(role: number, { candidate, hash }: HashedCandidate<Candidate>, zone?: string): Place {
   const near = zone !== undefined && candidate.zone === zone;
   return { id: candidate.id, near, score: mix(role ^ hash) };
 }
--- a/src/core/groups/rows.ts
+++ b/src/core/groups/rows.ts
@@ -1,7 +1,7 @@
 /** Keys of the rows of groups, and the transactions that change them. */
 
 import type { Epoch, FencingNumber, GroupId, InstanceId, ModelId } from '../ids';
-import type { DomainState, GroupTransaction, GuardedWrite, GroupWrite } from './domain-types';
+import type { DomainState, GroupTransaction, ConditionalWrite, GroupWrite } from './domain-types';
 import type { GroupRow, InstanceRow, Member } from './types';
 
 export const GROUP_PREFIX = 'group/';
@@ -40,7 +40,7 @@
   state: DomainState,
   id: InstanceId,
   row: Pick<InstanceRow, 'epoch' | 'fencing'> & { readonly group?: GroupId },
-): GuardedWrite {
+): ConditionalWrite {
   return {
     write: { kind: 'instance', id, row: { instance: id, ...row } },
     version: instanceVersion(state, id),
@@ -56,7 +56,7 @@
 
 /** The transaction that forms a group and takes its slot. */
 export function formGroup(state: DomainState, row: GroupRow, fenceVersion: number) {
-  const writes: GuardedWrite[] = [
+  const writes: ConditionalWrite[] = [
     { write: { kind: 'group', id: row.id, row }, version: 0 },
     ...row.members.map(({ instance }) =>
       instanceWrite(state, instance, { group: row.id, epoch: row.epoch, fencing: row.fencing }),
@@ -85,7 +85,7 @@
   const row: GroupRow = { ...held.row, ...change, fencing };
   const before = held.row.members.map(({ instance }) => instance);
   const after = row.members.map(({ instance }) => instance);
-  const writes: GuardedWrite[] = [
+  const writes: ConditionalWrite[] = [
     { write: { kind: 'group', id, row }, version: held.version },
     ...freed(state, without(before, after), row.epoch, fencing),
     ...without(after, before).map((instance) =>
@@ -106,7 +106,7 @@
   const { fencing, fenceVersion } = state.lease;
   const { model, slot, members, epoch } = held.row;
   const instances = members.map(({ instance }) => instance);
-  const writes: GuardedWrite[] = [
+  const writes: ConditionalWrite[] = [
     { write: { kind: 'group', id }, version: held.version },
     ...freed(state, instances, epoch, fencing),
   ];
@@ -119,7 +119,7 @@
   instances: readonly InstanceId[],
   epoch: Epoch,
   fencing: FencingNumber,
-): readonly GuardedWrite[] {
+): readonly ConditionalWrite[] {
   return instances.map((instance) => instanceWrite(state, instance, { epoch, fencing }));
 }
 
@@ -134,7 +134,7 @@
   state: DomainState,
   reason: string,
   fenceVersion: number,
-  writes: readonly GuardedWrite[],
+  writes: readonly ConditionalWrite[],
 ): GroupTransaction {
   return { id: state.seq, reason, fenceVersion, writes };
 }
--- a/src/core/groups/totals.ts
+++ b/src/core/groups/shortfall.ts
@@ -2,7 +2,7 @@
 
 import type { InstanceId, ModelId, MonoTime } from '../ids';
 import type { DomainState } from './domain-types';
-import { groupsOf, isWanted, serves } from './health';
+import { groupsOf, isWanted, isServing } from './health';
 
 /** What one domain lacks at an instant. */
 export interface Shortfall {
@@ -15,13 +15,13 @@
 }
 
 /** Seconds summed since this daemon started, over the domains while it held them. */
-export interface Totals {
+export interface ShortfallTotals {
   readonly downtime: Readonly<Record<ModelId, number>>;
   readonly stranded: Readonly<Record<ModelId, number>>;
   readonly unassigned: number;
 }
 
-export const NO_TOTALS: Totals = { downtime: {}, stranded: {}, unassigned: 0 };
+export const ZERO_TOTALS: ShortfallTotals = { downtime: {}, stranded: {}, unassigned: 0 };
 
 const MS_PER_SECOND = 1_000;
 const DEFAULT_ACCELERATORS = 1;
@@ -34,7 +34,7 @@
   for (const row of groupsOf(state)) {
     const instances = row.members.map(({ instance }) => instance);
     for (const id of instances) held.add(id);
-    if (serves(state, row, now)) continue;
+    if (isServing(state, row, now)) continue;
     const lost = instances.reduce((sum, id) => sum + acceleratorsOf(state, id), 0);
     if (isWanted(state, row)) down[row.model] = (down[row.model] ?? 0) + 1;
     stranded[row.model] = (stranded[row.model] ?? 0) + lost;
@@ -51,7 +51,7 @@
 }
 
 /** The totals after a shortfall lasted for `ms` milliseconds. */
-export function addShortfall(totals: Totals, short: Shortfall, ms: number): Totals {
+export function addShortfall(totals: ShortfallTotals, short: Shortfall, ms: number): ShortfallTotals {
   const seconds = ms / MS_PER_SECOND;
   return {
     downtime: addScaled(totals.downtime, short.down, seconds),
--- a/src/core/groups/slots.ts
+++ b/src/core/groups/slots.ts
@@ -2,9 +2,9 @@
 
 import type { DomainId, InstanceId, ModelId } from '../ids';
 import type { ModelPlan, OpenSlot } from './domain-types';
-import { hashAll, rankOf } from './rank';
+import { hashCandidates, rankOf } from './rank';
 import { slotKey } from './rows';
-import type { GroupRow, InstanceFacts } from './types';
+import type { GroupRow, InstanceInfo } from './types';
 
 export interface SlotsInput {
   readonly domain: DomainId;
@@ -12,11 +12,11 @@
   /** All groups of all domains, as last read. */
   readonly groups: readonly GroupRow[];
   /** All engine instances of all domains, as last listed. */
-  readonly instances: readonly InstanceFacts[];
+  readonly instances: readonly InstanceInfo[];
 }
 
 /** Live instances in no group, by domain. */
-export function countFree(input: SlotsInput): ReadonlyMap<DomainId, number> {
+export function countFreeInstances(input: SlotsInput): ReadonlyMap<DomainId, number> {
   const held = new Set<InstanceId>();
   for (const { members } of input.groups) {
     for (const { instance } of members) held.add(instance);
@@ -37,7 +37,7 @@
   for (const { model, slot } of input.groups) {
     if (slot !== undefined) taken.add(slotKey(model, slot));
   }
-  const free = countFree(input);
+  const free = countFreeInstances(input);
   return Object.values<ModelPlan>(input.models).flatMap((plan) => openOf(plan, taken, free, input));
 }
 
@@ -49,7 +49,7 @@
 ): readonly OpenSlot[] {
   if ((free.get(input.domain) ?? 0) < plan.membersPerReplica) return [];
   const able = [...free].filter(([, count]) => count >= plan.membersPerReplica);
-  const candidates = hashAll(able.map(([id]) => ({ id })));
+  const candidates = hashCandidates(able.map(([id]) => ({ id })));
   const slots = Array.from({ length: plan.replicas }, (_, slot) => slot);
   return slots
     .filter((slot) => !taken.has(slotKey(plan.id, slot)))
--- a/src/core/groups/types.ts
+++ b/src/core/groups/types.ts
@@ -47,7 +47,7 @@
 }
 
 /** What the platform's list says of an engine instance. */
-export interface InstanceFacts {
+export interface InstanceInfo {
   readonly id: InstanceId;
   readonly address: string;
   readonly domain: DomainId;
--- a/src/core/groups/watch.ts
+++ b/src/core/groups/watch.ts
@@ -25,11 +25,11 @@
 export interface Statement {
   readonly epoch: Epoch;
   readonly until: MonoTime;
-  readonly by: Told;
+  readonly by: StatementSource;
 }
 
 /** Who said something, and after what else it said. */
-export interface Told {
+export interface StatementSource {
   readonly origin: DaemonId;
   readonly seq: number;
 }
@@ -43,7 +43,7 @@
   /** Nothing known from before this counts. */
   readonly distrustedAt?: MonoTime;
   /** A peer's warning; only a later statement of the same peer, or own probes, end it. */
-  readonly warning?: Told;
+  readonly warning?: StatementSource;
   readonly leaving: boolean;
   /** As last told to those who listen. */
   readonly routable: boolean;
@@ -62,7 +62,7 @@
   /** A failed request. */
   | { readonly kind: 'evidence'; readonly epoch: Epoch }
   /** A peer saw that not all members fit. */
-  | { readonly kind: 'warned'; readonly epoch: Epoch; readonly by: Told }
+  | { readonly kind: 'warned'; readonly epoch: Epoch; readonly by: StatementSource }
   /** A member is leaving, or no longer. */
   | { readonly kind: 'leaving'; readonly leaving: boolean }
   | { readonly kind: 'tick' };
@@ -79,14 +79,14 @@
 export function routableUntil(state: WatchState, now: MonoTime): MonoTime | undefined {
   const { phase } = state.row;
   if (state.leaving || (phase !== 'forming' && phase !== 'serving')) return undefined;
-  const own = ownUntil(state);
+  const own = ownRoutableUntil(state);
   const stated = statedUntil(state);
   const until = Math.max(own ?? now, stated ?? now) as MonoTime;
   return until > now ? until : undefined;
 }
 
 /** Until when this daemon's own probes alone make the group routable. */
-export function ownUntil(state: WatchState): MonoTime | undefined {
+export function ownRoutableUntil(state: WatchState): MonoTime | undefined {
   let until = Infinity;
   for (const { instance } of state.row.members) {
     const probe = state.probes[instance];
@@ -97,7 +97,7 @@
 }
 
 /** Nothing speaks against the group; what spoke for it is old or has yet to come. A probe settles it. */
-export function isUnsettled(state: WatchState, now: MonoTime): boolean {
+export function isAwaitingProbe(state: WatchState, now: MonoTime): boolean {
   const isServing = state.row.phase === 'serving' && !state.leaving;
   return isServing && state.distrustedAt === undefined && routableUntil(state, now) === undefined;
 }
@@ -134,7 +134,7 @@
 
 /** Once all members were probed afresh, peers' statements count again. */
 function trust(state: WatchState): WatchState {
-  return state.distrustedAt !== undefined && ownUntil(state) !== undefined
+  return state.distrustedAt !== undefined && ownRoutableUntil(state) !== undefined
     ? withoutDistrust(state)
     : state;
 }
--- a/src/core/lease/lease.ts
+++ b/src/core/lease/lease.ts
@@ -25,7 +25,7 @@
   LeaseRow,
   LeaseSettings,
   LeaseState,
-  PendingLease,
+  PendingCommit,
   SeenLease,
 } from './types';
 
@@ -46,7 +46,7 @@
     settings: { ...LEASE_SETTINGS, ...options.settings },
     rank: Infinity,
     rankedAt: now,
-    offered: false,
+    hasOfferedHandover: false,
     stopping: false,
     reading: false,
     era: FIRST_ERA,
@@ -106,7 +106,7 @@
     released,
   };
   const kind = released ? 'release' : 'renew';
-  const pending: PendingLease = { kind, sentAt: now, era: state.era, row };
+  const pending: PendingCommit = { kind, sentAt: now, era: state.era, row };
   return next<LeaseState, LeaseEffect>(
     { ...state, pending, dueAt: later(now, settings.renewMs) },
     { kind: 'commit', era: state.era, row, leaseVersion: seen.version },
@@ -128,7 +128,7 @@
     ttlMs: settings.ttlMs,
     released: false,
   };
-  const pending: PendingLease = { kind: 'take', sentAt: now, era: state.era, row };
+  const pending: PendingCommit = { kind: 'take', sentAt: now, era: state.era, row };
   const { version: leaseVersion, fenceVersion } = seen;
   return next<LeaseState, LeaseEffect>(
     { ...state, pending, dueAt: later(now, settings.renewMs) },
@@ -138,7 +138,7 @@
 
 /** A peer ranked before this daemon for a while: let it have the lease, but offer it only once. */
 function isHandoverDue(state: LeaseState, now: MonoTime): boolean {
-  if (state.rank === 0 || state.offered) return false;
+  if (state.rank === 0 || state.hasOfferedHandover) return false;
   return now >= later(state.rankedAt, state.settings.handoverMs);
 }
 
@@ -170,7 +170,7 @@
   const free = freeAt(state);
   const { contact, settings } = state;
   if (free === undefined || !contact || now - contact.last > settings.ttlMs) return false;
-  return now >= later(max(free, contact.since), state.rank * settings.backupDelayMs);
+  return now >= later(max(free, contact.since), state.rank * settings.rankDelayMs);
 }
 
 function max(a: MonoTime, b: MonoTime): MonoTime {
@@ -245,7 +245,7 @@
   if (pending.kind === 'release') {
     // Leave the others time to take it.
     const dueAt = later(now, settings.handoverMs);
-    return next({ ...withoutHeld(after), dueAt, offered: true });
+    return next({ ...withoutHeld(after), dueAt, hasOfferedHandover: true });
   }
   const validUntil = later(pending.sentAt, settings.ttlMs - settings.marginMs);
   const held = { fencing: pending.row.fencing, fenceVersion, validUntil };
@@ -264,7 +264,7 @@
 /** The hand-over delay runs from when this daemon stopped being the first choice. */
 function onRanked(state: LeaseState, rank: number, now: MonoTime): LeaseState {
   const rankedAt = state.rank > 0 && rank > 0 ? state.rankedAt : now;
-  return { ...state, rank, rankedAt, offered: false };
+  return { ...state, rank, rankedAt, hasOfferedHandover: false };
 }
 
 /** The lease on one domain. Effects: reads and commits of its two rows. */
--- a/src/core/lease/types.ts
+++ b/src/core/lease/types.ts
@@ -29,7 +29,7 @@
   readonly marginMs: number;
   readonly renewMs: number;
   /** How much later each further candidate tries for a free lease. */
-  readonly backupDelayMs: number;
+  readonly rankDelayMs: number;
   /** How long a better-placed peer must stay so before the lease is handed to it. */
   readonly handoverMs: number;
 }
@@ -38,7 +38,7 @@
   ttlMs: 10_000,
   marginMs: 1_000,
   renewMs: 2_500,
-  backupDelayMs: 2_000,
+  rankDelayMs: 2_000,
   handoverMs: 15_000,
 };
 
@@ -59,7 +59,7 @@
 }
 
 /** A commit whose result is not known yet. */
-export interface PendingLease {
+export interface PendingCommit {
   readonly kind: 'take' | 'renew' | 'release';
   readonly sentAt: MonoTime;
   /** Its conditions are versions of this era: in another one they may hold by chance. */
@@ -68,7 +68,7 @@
 }
 
 /** An unbroken run of reads of the table. */
-export interface Contact {
+export interface TableContact {
   readonly since: MonoTime;
   readonly last: MonoTime;
 }
@@ -82,16 +82,16 @@
   readonly rank: number;
   readonly rankedAt: MonoTime;
   /** Already handed back once for a better-placed peer, of this ranking. */
-  readonly offered: boolean;
+  readonly hasOfferedHandover: boolean;
   readonly stopping: boolean;
   readonly reading: boolean;
   /** The newest era of the table that is known here. */
   readonly era: StoreEra;
   readonly seen?: SeenLease;
   /** When the rows were last read, and since when without a long gap. */
-  readonly contact?: Contact;
+  readonly contact?: TableContact;
   readonly held?: HeldLease;
-  readonly pending?: PendingLease;
+  readonly pending?: PendingCommit;
   /** Next renewal, or next try after a failed one. */
   readonly dueAt: MonoTime;
 }
--- a/src/core/ledger/claim-types.ts
+++ b/src/core/ledger/claim-types.ts
@@ -1,7 +1,7 @@
 /** States, events and effects of a claim. */
 
 import type { AttemptId, DaemonId, EpochTime, MonoTime } from '../ids';
-import type { ClaimRow, SeenRow, StoredAnswer } from './rows';
+import type { ClaimRow, VersionedRow, StoredAnswer } from './rows';
 
 /** What a claim is made for, and its limits. */
 export interface ClaimTerms {
@@ -32,7 +32,7 @@
   /** Version that the next write goes by. */
   readonly version: number;
   /** False once the caller has been told that the claim was not had. */
-  readonly wanted: boolean;
+  readonly isWanted: boolean;
   /** Failed tries of the step under way. */
   readonly tries: number;
   /** What the row says at the end. */
@@ -52,7 +52,7 @@
   | { readonly kind: 'unavailable' }
   /** The write may have taken effect, or may yet. */
   | { readonly kind: 'unanswered' }
-  | { readonly kind: 'seen'; readonly seen: SeenRow }
+  | { readonly kind: 'seen'; readonly seen: VersionedRow }
   | { readonly kind: 'unreadable' }
   /** The wait that was asked for is over. */
   | { readonly kind: 'waited' }
--- a/src/core/ledger/claim.ts
+++ b/src/core/ledger/claim.ts
@@ -18,7 +18,7 @@
   ClaimTerms,
   NotHeldReason,
 } from './claim-types';
-import type { ClaimRow, SeenRow } from './rows';
+import type { ClaimRow, VersionedRow } from './rows';
 
 type ClaimStep = Step<ClaimState, ClaimEffect>;
 
@@ -29,7 +29,7 @@
 const MAX_WAIT_MS = 20_000;
 
 export function createClaim(terms: ClaimTerms): ClaimState {
-  return { terms, phase: 'taking', version: 0, wanted: true, tries: 0, last: undefined };
+  return { terms, phase: 'taking', version: 0, isWanted: true, tries: 0, last: undefined };
 }
 
 function fieldsOf({ attempt, holder, bodyHash, deadlineAt, expiresAt }: ClaimTerms) {
@@ -83,12 +83,12 @@
 }
 
 function unwanted(state: ClaimState): ClaimState {
-  return { ...state, wanted: false, last: releasedRow(state.terms) };
+  return { ...state, isWanted: false, last: releasedRow(state.terms) };
 }
 
 /** Says that the claim was not had, unless that was said. */
 function notHeld(state: ClaimState, reason: NotHeldReason): readonly ClaimEffect[] {
-  return state.wanted ? [{ kind: 'not-held', reason }] : [];
+  return state.isWanted ? [{ kind: 'not-held', reason }] : [];
 }
 
 /** Gives up before the claim was had: looks first, since an insert may still take effect. */
@@ -103,9 +103,9 @@
 }
 
 /** The read after an insert that was not simply taken. */
-function onSeenWhileReading(state: ClaimState, seen: SeenRow, ctx: StepContext): ClaimStep {
+function onSeenWhileReading(state: ClaimState, seen: VersionedRow, ctx: StepContext): ClaimStep {
   const { row, version } = seen;
-  if (!state.wanted) return onSeenWhileChecking(state, seen);
+  if (!state.isWanted) return onSeenWhileChecking(state, seen);
   if (isOwn(state, row) && row?.state === 'claimed') {
     return next<ClaimState, ClaimEffect>({ ...state, phase: 'held', version }, { kind: 'held' });
   }
@@ -116,7 +116,7 @@
 }
 
 /** The read after a last write that was not simply taken. */
-function onSeenWhileChecking(state: ClaimState, seen: SeenRow): ClaimStep {
+function onSeenWhileChecking(state: ClaimState, seen: VersionedRow): ClaimStep {
   const { row, version } = seen;
   const { last } = state;
   if (last === undefined) return closed(state, true);
@@ -149,7 +149,7 @@
 
 /** The insert's answer was lost or a conflict: what does the row say? */
 function readAfterInsert(state: ClaimState): ClaimStep {
-  return read({ ...state, tries: state.tries + 1 }, state.wanted ? 'reading' : 'checking');
+  return read({ ...state, tries: state.tries + 1 }, state.isWanted ? 'reading' : 'checking');
 }
 
 function onInsertUnavailable(state: ClaimState): ClaimStep {
@@ -159,7 +159,7 @@
 }
 
 function onInserted(state: ClaimState): ClaimStep {
-  if (!state.wanted) return close(state, releasedRow(state.terms));
+  if (!state.isWanted) return close(state, releasedRow(state.terms));
   return next<ClaimState, ClaimEffect>({ ...state, phase: 'held' }, { kind: 'held' });
 }
 
--- a/src/core/ledger/rate.ts
+++ b/src/core/ledger/rate.ts
@@ -2,7 +2,7 @@
 
 import type { MonoTime } from '../ids';
 
-export interface CommitShare {
+export interface CommitRate {
   /** Commits a second. */
   readonly perSecond: number;
   /** Commits saved up at most. */
@@ -15,16 +15,16 @@
 }
 
 /** This daemon's share of the table's commits, given how many daemons there are. */
-export function shareOf(
+export function commitRateOf(
   commitsPerSecond: number,
   claimShare: number,
   daemons: number,
-): CommitShare {
+): CommitRate {
   const perSecond = (commitsPerSecond * claimShare) / Math.max(1, daemons);
   return { perSecond, burst: Math.max(1, perSecond / 4) };
 }
 
-function refill(bucket: CommitBucket, share: CommitShare, now: MonoTime): CommitBucket {
+function refill(bucket: CommitBucket, share: CommitRate, now: MonoTime): CommitBucket {
   const gained = ((now - bucket.at) / 1_000) * share.perSecond;
   return { tokens: Math.min(share.burst, bucket.tokens + gained), at: now };
 }
@@ -32,7 +32,7 @@
 /** Takes one commit if there is one; else says how long until there is, milliseconds. */
 export function takeCommit(
   bucket: CommitBucket,
-  share: CommitShare,
+  share: CommitRate,
   now: MonoTime,
 ): { readonly bucket: CommitBucket; readonly waitMs: number } {
   const filled = refill(bucket, share, now);
@@ -43,7 +43,7 @@
 /** How long a write that joins `queued` others waits for its commit, milliseconds. */
 export function expectedWaitMs(
   bucket: CommitBucket,
-  share: CommitShare,
+  share: CommitRate,
   queued: number,
   batch: number,
   now: MonoTime,
--- a/src/core/ledger/rows.ts
+++ b/src/core/ledger/rows.ts
@@ -61,7 +61,7 @@
 export type ClaimRow = ClaimedRow | UnknownRow | FinishedRow | ReleasedRow;
 
 /** A row as it was read. Version 0: there is none. */
-export interface SeenRow {
+export interface VersionedRow {
   readonly version: number;
   readonly row: ClaimRow | undefined;
 }
--- a/src/core/membership/spread.ts
+++ b/src/core/membership/dissemination.ts
@@ -2,7 +2,7 @@
 
 import type { DaemonId } from '../ids';
 import { next } from '../reducer';
-import { entryBytes, entryId, isNews, withEntries } from './entries';
+import { entryBytes, entryId, isNewer, withEntries } from './entries';
 import { MEMBER_TOPIC, isPresent, memberEntry, memberVersion, parseMember } from './members';
 import { chain, sample, send, unchanged, withNeighbours } from './state';
 import type { MembershipState, MembershipStep, Rumour } from './state';
@@ -28,7 +28,7 @@
 
 function startRumour(entry: Entry, from: DaemonId | undefined, sends: number): Rumour {
   const sentTo = new Set(from === undefined ? [] : [from]);
-  return { left: sends, bytes: entryBytes(entry), sentTo };
+  return { sendsRemaining: sends, bytes: entryBytes(entry), sentTo };
 }
 
 /** Suspects get time to speak up; whoever is no suspect any more is struck off. */
@@ -45,7 +45,7 @@
 
 function suspicionEnd(state: MembershipState, ctx: MembershipContext): typeof ctx.now {
   const scale = Math.max(1, Math.log10(state.members.size));
-  return (ctx.now + ctx.settings.suspectMs * scale) as typeof ctx.now;
+  return (ctx.now + ctx.settings.suspectTimeoutMs * scale) as typeof ctx.now;
 }
 
 /** Whoever learns of a new daemon may lack more: its rumours were sized for fewer daemons. */
@@ -74,7 +74,7 @@
   ctx: MembershipContext,
 ): MembershipStep {
   const rumours = new Map(state.rumours);
-  const sends = sendsFor(state.members.size, ctx.settings.sends);
+  const sends = sendsFor(state.members.size, ctx.settings.maxSends);
   rumours.set(entryId(entry), startRumour(entry, from, sends));
   const put = { ...state, entries: withEntries(state.entries, [entry]), rumours };
   if (entry.topic === MEMBER_TOPIC) {
@@ -94,7 +94,7 @@
   ctx: MembershipContext,
 ): MembershipStep {
   const self = { ...state.self, incarnation: state.self.incarnation + 1, ...change };
-  const perDaemon = ctx.settings.announceMsPerDaemon * state.members.size;
+  const perDaemon = ctx.settings.announceIntervalMsPerDaemon * state.members.size;
   const announceAt = (ctx.now + perDaemon) as typeof ctx.now;
   return putEntry({ ...state, self, announceAt }, memberEntry(self), undefined, ctx);
 }
@@ -124,7 +124,7 @@
   const rumour = state.rumours.get(id);
   if (rumour === undefined || state.entries.get(id)?.version !== entry.version) return state;
   const sentTo = new Set(rumour.sentTo).add(from);
-  const rumours = new Map(state.rumours).set(id, { ...rumour, left: rumour.left - 1, sentTo });
+  const rumours = new Map(state.rumours).set(id, { ...rumour, sendsRemaining: rumour.sendsRemaining - 1, sentTo });
   return { ...state, rumours };
 }
 
@@ -138,12 +138,12 @@
     const claim = parseMember(entry);
     return claim ? refute(state, entry, claim, ctx) : unchanged(state);
   }
-  if (!isNews(state.entries, entry, ctx.epoch)) return next(heardAgain(state, entry, from));
+  if (!isNewer(state.entries, entry, ctx.epoch)) return next(heardAgain(state, entry, from));
   return putEntry(state, entry, from, ctx);
 }
 
 /** Takes in entries from a peer and passes on at once what is news. */
-export function takeEntries(
+export function handleEntries(
   state: MembershipState,
   entries: readonly Entry[],
   from: DaemonId,
@@ -156,7 +156,7 @@
 }
 
 /** Puts an entry made here and passes it on at once. */
-export function tell(state: MembershipState, entry: Entry, ctx: MembershipContext): MembershipStep {
+export function broadcast(state: MembershipState, entry: Entry, ctx: MembershipContext): MembershipStep {
   return chain(
     state,
     (current) => putEntry(current, entry, undefined, ctx),
@@ -172,8 +172,8 @@
 /** The rumours that `target` may not have, the least spread ones first, as many as fit. */
 function packFor(state: MembershipState, target: DaemonId, budget: number): Parcel {
   const fresh = [...state.rumours]
-    .filter(([, rumour]) => rumour.left > 0 && !rumour.sentTo.has(target))
-    .sort(([, a], [, b]) => b.left - a.left);
+    .filter(([, rumour]) => rumour.sendsRemaining > 0 && !rumour.sentTo.has(target))
+    .sort(([, a], [, b]) => b.sendsRemaining - a.sendsRemaining);
   const ids: string[] = [];
   let bytes = 0;
   for (const [id, rumour] of fresh) {
@@ -195,7 +195,7 @@
     const rumour = rumours.get(id);
     if (!rumour) continue;
     const sentTo = new Set(rumour.sentTo).add(target);
-    rumours.set(id, { ...rumour, left: rumour.left - 1, sentTo });
+    rumours.set(id, { ...rumour, sendsRemaining: rumour.sendsRemaining - 1, sentTo });
   }
   return { ...state, rumours };
 }
@@ -215,7 +215,7 @@
 function endRumours(state: MembershipState): MembershipState {
   const live = [...state.rumours].filter(
     ([id, rumour]) =>
-      rumour.left > 0 &&
+      rumour.sendsRemaining > 0 &&
       state.entries.has(id) &&
       state.neighbours.some((neighbour) => !rumour.sentTo.has(neighbour)),
   );
--- a/src/core/membership/entries.ts
+++ b/src/core/membership/entries.ts
@@ -27,7 +27,7 @@
 }
 
 /** Whether the store lacks this version or a newer one. */
-export function isNews(store: EntryStore, entry: Entry, epoch: EpochTime): boolean {
+export function isNewer(store: EntryStore, entry: Entry, epoch: EpochTime): boolean {
   if (entry.expiresAt <= epoch) return false;
   const held = store.get(entryId(entry));
   if (!held) return store.size < MAX_ENTRIES;
--- a/src/core/membership/members.ts
+++ b/src/core/membership/members.ts
@@ -40,7 +40,7 @@
 }
 
 /** The entry that says that a member has fallen to `state` in its present incarnation. */
-export function fallenEntry(
+export function failedMemberEntry(
   record: MemberRecord,
   state: MemberState,
   epoch: EpochTime,
--- a/src/core/membership/membership.ts
+++ b/src/core/membership/membership.ts
@@ -6,26 +6,26 @@
 import { memberEntry } from './members';
 import {
   checkProbe,
-  checkRelayed,
-  checkSuspects,
-  forgiveAfterPause,
-  noteUnreachable,
+  expireRelayedProbes,
+  expireSuspects,
+  resetAfterPause,
+  handleUnreachable,
   probeNext,
-  takeAck,
-  takeNack,
-  takeRelay,
+  handleAck,
+  handleNack,
+  handleRelay,
 } from './probing';
-import { announce, flush, takeEntries, tell } from './spread';
+import { announce, flush, handleEntries, broadcast } from './spread';
 import { chain, send, unchanged } from './state';
 import type { MembershipState, MembershipStep } from './state';
 import {
-  greetSender,
+  syncSender,
   rejoinNext,
   sweepExpired,
   syncNext,
-  takeDigest,
-  takeLines,
-  takeWant,
+  handleDigest,
+  handleLines,
+  handleWant,
 } from './sync';
 import { refill, spend } from './token-bucket';
 import type { Entry, MembershipContext, MembershipEffect, MembershipEvent, Message } from './types';
@@ -44,21 +44,21 @@
     chain(
       state,
       (current) => next(current, send(address, { kind: 'ack', seq })),
-      (current) => greetSender(current, from, address, ctx),
+      (current) => syncSender(current, from, address, ctx),
     ),
-  ack: (state, _, { seq }) => takeAck(state, seq),
-  nack: (state, _, { seq }) => takeNack(state, seq),
-  relay: (state, { address }, message, ctx) => takeRelay(state, address, message, ctx),
-  entries: (state, { from }, { entries }, ctx) => takeEntries(state, entries, from, ctx),
+  ack: (state, _, { seq }) => handleAck(state, seq),
+  nack: (state, _, { seq }) => handleNack(state, seq),
+  relay: (state, { address }, message, ctx) => handleRelay(state, address, message, ctx),
+  entries: (state, { from }, { entries }, ctx) => handleEntries(state, entries, from, ctx),
   digest: (state, { from, address }, message, ctx) =>
     chain(
       state,
-      (current) => takeDigest(current, address, message, ctx),
+      (current) => handleDigest(current, address, message, ctx),
       (current) =>
-        current.members.has(from) ? greetSender(current, from, address, ctx) : unchanged(current),
+        current.members.has(from) ? syncSender(current, from, address, ctx) : unchanged(current),
     ),
-  lines: (state, { address }, message, ctx) => takeLines(state, address, message, ctx),
-  want: (state, { address }, message, ctx) => takeWant(state, address, message, ctx),
+  lines: (state, { address }, message, ctx) => handleLines(state, address, message, ctx),
+  want: (state, { address }, message, ctx) => handleWant(state, address, message, ctx),
 };
 
 function takeMessage(
@@ -73,9 +73,9 @@
 function notePause(state: MembershipState, ctx: MembershipContext): MembershipStep {
   const gapMs = ctx.now - state.lastTick;
   const ticked = { ...state, lastTick: ctx.now };
-  if (gapMs <= ctx.settings.pauseMs) return next(ticked);
+  if (gapMs <= ctx.settings.pauseThresholdMs) return next(ticked);
   // What was told meanwhile is fetched at once.
-  return next({ ...forgiveAfterPause(ticked, gapMs), probeAt: ctx.now, syncAt: ctx.now });
+  return next({ ...resetAfterPause(ticked, gapMs), probeAt: ctx.now, syncAt: ctx.now });
 }
 
 function announceConfig(state: MembershipState, ctx: MembershipContext): MembershipStep {
@@ -92,8 +92,8 @@
     (current) => notePause(current, ctx),
     (current) => next(sweepExpired(current, ctx)),
     (current) => checkProbe(current, ctx),
-    (current) => checkRelayed(current, ctx),
-    (current) => checkSuspects(current, ctx),
+    (current) => expireRelayedProbes(current, ctx),
+    (current) => expireSuspects(current, ctx),
     (current) => probeNext(current, ctx),
     (current) => announceConfig(current, ctx),
     (current) => flush(current, ctx),
@@ -111,7 +111,7 @@
   // Above every version of an earlier life, as long as clocks do not go back further than it lasted.
   const version = Math.max(Math.floor(ctx.epoch), state.lastVersion + 1);
   const entry: Entry = { topic, key, origin: state.self.id, version, value, expiresAt };
-  return tell({ ...state, lastVersion: version }, entry, ctx);
+  return broadcast({ ...state, lastVersion: version }, entry, ctx);
 }
 
 function leave(state: MembershipState, ctx: MembershipContext): MembershipStep {
@@ -135,7 +135,7 @@
 >({
   tick: (state, _, ctx) => tick(state, ctx),
   message: takeMessage,
-  unreachable: (state, { address }, ctx) => noteUnreachable(state, address, ctx),
+  unreachable: (state, { address }, ctx) => handleUnreachable(state, address, ctx),
   candidates: (state, { addresses }) => next({ ...state, candidates: addresses }),
   publish,
   'config-version': (state, { version }) =>
--- a/src/core/membership/probing.ts
+++ b/src/core/membership/probing.ts
@@ -8,8 +8,8 @@
 import type { DaemonId, MonoTime } from '../ids';
 import { later } from '../ids';
 import { next } from '../reducer';
-import { fallenEntry } from './members';
-import { tell } from './spread';
+import { failedMemberEntry } from './members';
+import { broadcast } from './spread';
 import { chain, presentOthers, sample, send, unchanged } from './state';
 import type { MembershipState, MembershipStep, Probe } from './state';
 import type { MembershipContext, MembershipEffect } from './types';
@@ -30,7 +30,7 @@
     address,
     seq,
     directUntil: later(ctx.now, ctx.settings.probeTimeoutMs),
-    until: later(ctx.now, ctx.settings.probeMs),
+    until: later(ctx.now, ctx.settings.probeIntervalMs),
     relayed: false,
     confirmed: false,
   };
@@ -44,7 +44,7 @@
   }
   const turn = (state.turn + 1) % state.neighbours.length;
   const target = state.neighbours[turn];
-  const turned = { ...state, turn, probeAt: later(ctx.now, ctx.settings.probeMs) };
+  const turned = { ...state, turn, probeAt: later(ctx.now, ctx.settings.probeIntervalMs) };
   return target === undefined ? unchanged(turned) : startProbe(turned, target, ctx);
 }
 
@@ -67,7 +67,7 @@
   if (!member || member.state === 'dead' || member.state === 'suspect') return unchanged(state);
   // A daemon that was leaving has left.
   const fallen = member.state === 'leaving' ? 'dead' : 'suspect';
-  return tell(state, fallenEntry(member, fallen, ctx.epoch, ctx.settings.deadTtlMs), ctx);
+  return broadcast(state, failedMemberEntry(member, fallen, ctx.epoch, ctx.settings.deadTtlMs), ctx);
 }
 
 function endProbe(state: MembershipState, probe: Probe, ctx: MembershipContext): MembershipStep {
@@ -85,7 +85,7 @@
   target: DaemonId,
   ctx: MembershipContext,
 ): MembershipStep {
-  return startProbe({ ...state, probeAt: later(ctx.now, ctx.settings.probeMs) }, target, ctx);
+  return startProbe({ ...state, probeAt: later(ctx.now, ctx.settings.probeIntervalMs) }, target, ctx);
 }
 
 /** Goes on with the probe whose answer is late. */
@@ -98,7 +98,7 @@
 }
 
 /** Tells those who asked that a relayed probe had no answer. */
-export function checkRelayed(state: MembershipState, ctx: MembershipContext): MembershipStep {
+export function expireRelayedProbes(state: MembershipState, ctx: MembershipContext): MembershipStep {
   const late = state.relayed.filter((relay) => ctx.now >= relay.until);
   if (late.length === 0) return unchanged(state);
   const relayed = state.relayed.filter((relay) => ctx.now < relay.until);
@@ -107,17 +107,17 @@
 }
 
 /** Declares dead whoever was suspected long enough. */
-export function checkSuspects(state: MembershipState, ctx: MembershipContext): MembershipStep {
+export function expireSuspects(state: MembershipState, ctx: MembershipContext): MembershipStep {
   const over = [...state.suspects].filter(([, until]) => ctx.now >= until);
   const steps = over.map(([id]) => (current: MembershipState) => {
     const member = current.members.get(id);
     if (member?.state !== 'suspect') return unchanged(current);
-    return tell(current, fallenEntry(member, 'dead', ctx.epoch, ctx.settings.deadTtlMs), ctx);
+    return broadcast(current, failedMemberEntry(member, 'dead', ctx.epoch, ctx.settings.deadTtlMs), ctx);
   });
   return chain(state, ...steps);
 }
 
-export function takeAck(state: MembershipState, seq: number): MembershipStep {
+export function handleAck(state: MembershipState, seq: number): MembershipStep {
   const relay = state.relayed.find((candidate) => candidate.seq === seq);
   if (relay) {
     const relayed = state.relayed.filter((candidate) => candidate !== relay);
@@ -129,14 +129,14 @@
   return next({ ...state, probe: undefined, doubts });
 }
 
-export function takeNack(state: MembershipState, seq: number): MembershipStep {
+export function handleNack(state: MembershipState, seq: number): MembershipStep {
   const { probe } = state;
   if (probe?.seq !== seq) return unchanged(state);
   return next({ ...state, probe: { ...probe, confirmed: true } });
 }
 
 /** Probes `target` for the daemon at `askedBy`. */
-export function takeRelay(
+export function handleRelay(
   state: MembershipState,
   askedBy: string,
   asked: { readonly seq: number; readonly target: string },
@@ -150,7 +150,7 @@
 }
 
 /** A link broke or could not be made: the member there is probed at once, through others. */
-export function noteUnreachable(
+export function handleUnreachable(
   state: MembershipState,
   address: string,
   ctx: MembershipContext,
@@ -166,7 +166,7 @@
 }
 
 /** After a pause of the process nothing that seemed late is held against anyone. */
-export function forgiveAfterPause(state: MembershipState, gapMs: number): MembershipState {
+export function resetAfterPause(state: MembershipState, gapMs: number): MembershipState {
   const suspects = new Map<DaemonId, MonoTime>();
   for (const [id, until] of state.suspects) suspects.set(id, later(until, gapMs));
   return { ...state, suspects, probe: undefined, relayed: [], doubts: new Map() };
--- a/src/core/membership/state.ts
+++ b/src/core/membership/state.ts
@@ -20,7 +20,7 @@
 
 /** An entry that is still being passed on. */
 export interface Rumour {
-  readonly left: number;
+  readonly sendsRemaining: number;
   readonly bytes: number;
   readonly sentTo: ReadonlySet<DaemonId>;
 }
--- a/src/core/membership/sync.ts
+++ b/src/core/membership/sync.ts
@@ -51,7 +51,7 @@
 /** Compares with a neighbour when it is time and the limit of bytes allows. */
 export function syncNext(state: MembershipState, ctx: MembershipContext): MembershipStep {
   if (ctx.now < state.syncAt) return unchanged(state);
-  const syncAt = later(ctx.now, ctx.settings.syncMs * (0.5 + ctx.random.next()));
+  const syncAt = later(ctx.now, ctx.settings.syncIntervalMs * (0.5 + ctx.random.next()));
   const [target] = sample(state.neighbours, 1, ctx.random);
   const address = target === undefined ? undefined : state.members.get(target)?.address;
   const { tokens } = refill(state.syncBucket, syncLimits(ctx), ctx.now);
@@ -72,7 +72,7 @@
 /** Introduces this daemon where another may be: a start, a return, a healed partition. */
 export function rejoinNext(state: MembershipState, ctx: MembershipContext): MembershipStep {
   if (ctx.now < state.rejoinAt) return unchanged(state);
-  const rejoinAt = later(ctx.now, ctx.settings.rejoinMs * (0.5 + ctx.random.next()));
+  const rejoinAt = later(ctx.now, ctx.settings.rejoinIntervalMs * (0.5 + ctx.random.next()));
   // While alone, several at once: the first may be the one that is gone.
   const count = state.neighbours.length === 0 ? ctx.settings.fanOut : 1;
   const addresses = sample(missingAddresses(state), count, ctx.random);
@@ -90,7 +90,7 @@
 }
 
 /** Answers a digest with the lines that differ. */
-export function takeDigest(
+export function handleDigest(
   state: MembershipState,
   address: string,
   digest: DigestMessage,
@@ -135,7 +135,7 @@
 }
 
 /** Sends what the other lacks and asks for what this daemon lacks. */
-export function takeLines(
+export function handleLines(
   state: MembershipState,
   address: string,
   lines: LinesMessage,
@@ -150,7 +150,7 @@
   return next(charge(sent.state, ours.length * LINE_BYTES, ctx), ...sent.effects, want);
 }
 
-export function takeWant(
+export function handleWant(
   state: MembershipState,
   address: string,
   want: WantMessage,
@@ -161,7 +161,7 @@
 }
 
 /** A sender that is unknown here gets a comparison; one believed gone hears what is said of it. */
-export function greetSender(
+export function syncSender(
   state: MembershipState,
   from: DaemonId,
   address: string,
--- a/src/core/membership/types.ts
+++ b/src/core/membership/types.ts
@@ -96,27 +96,27 @@
 /** Times in milliseconds. */
 export interface MembershipSettings {
   /** Each daemon probes one neighbour in this time. */
-  readonly probeMs: number;
+  readonly probeIntervalMs: number;
   /** A probe without an answer for this long is tried through others. */
   readonly probeTimeoutMs: number;
   /** Others asked to probe. */
   readonly relays: number;
   /** A suspect that does not speak up for this long is dead; grows with the number of daemons. */
-  readonly suspectMs: number;
+  readonly suspectTimeoutMs: number;
   /** Daemons that one probes and gossips with. */
   readonly neighbours: number;
   /** Neighbours told at once of something new, and per tick afterwards. */
   readonly fanOut: number;
   /** Times that one daemon passes an entry on, at most. */
-  readonly sends: number;
+  readonly maxSends: number;
   /** Period of the comparison with a neighbour. */
-  readonly syncMs: number;
+  readonly syncIntervalMs: number;
   /** Period at which a daemon that is missing is tried. */
-  readonly rejoinMs: number;
+  readonly rejoinIntervalMs: number;
   /** Least time between own announcements, for each daemon known. */
-  readonly announceMsPerDaemon: number;
+  readonly announceIntervalMsPerDaemon: number;
   /** Ticks further apart than this mean that the process was paused. */
-  readonly pauseMs: number;
+  readonly pauseThresholdMs: number;
   /** The dead are remembered this long. */
   readonly deadTtlMs: number;
   /** Limit of rumours and direct messages, bytes a second, and what may be sent at once. */
@@ -128,17 +128,17 @@
 }
 
 export const MEMBERSHIP_DEFAULTS: MembershipSettings = {
-  probeMs: 1000,
+  probeIntervalMs: 1000,
   probeTimeoutMs: 300,
   relays: 3,
-  suspectMs: 2000,
+  suspectTimeoutMs: 2000,
   neighbours: 12,
   fanOut: 3,
-  sends: 6,
-  syncMs: 10_000,
-  rejoinMs: 2000,
-  announceMsPerDaemon: 300,
-  pauseMs: 1000,
+  maxSends: 6,
+  syncIntervalMs: 10_000,
+  rejoinIntervalMs: 2000,
+  announceIntervalMsPerDaemon: 300,
+  pauseThresholdMs: 1000,
   deadTtlMs: 2 * 3_600_000,
   bytesPerSecond: 5500,
   burstBytes: 32_000,
--- a/src/core/random.ts
+++ b/src/core/random.ts
@@ -9,6 +9,6 @@
 }
 
 /** What a decision that draws lots may know. */
-export interface ChanceContext extends StepContext {
+export interface RandomContext extends StepContext {
   readonly random: Random;
 }
--- a/src/core/report/events.ts
+++ b/src/core/report/events.ts
@@ -1,10 +1,10 @@
 /** The lines of several daemons' logs on one clock. */
 
-import { estimateOffsets } from '../explain/clocks';
+import { estimateClockOffsets } from '../explain/clocks';
 import type { LogLine } from '../explain/log-line';
 
 /** A line with the time since the report's start. */
-export interface Event {
+export interface LogEvent {
   readonly at: number;
   readonly daemon: string;
   readonly message: string;
@@ -13,12 +13,12 @@
 
 export interface Timeline {
   readonly startedAt: number;
-  readonly events: readonly Event[];
+  readonly events: readonly LogEvent[];
 }
 
 /** Orders the lines by the clock of the daemon that logged most. */
 export function createTimeline(lines: readonly LogLine[]): Timeline {
-  const offsets = estimateOffsets(lines, busiest(lines));
+  const offsets = estimateClockOffsets(lines, busiest(lines));
   const sorted = lines
     .map((line) => ({ ...line, at: line.at - (offsets.get(line.daemon) ?? 0) }))
     .sort((a, b) => a.at - b.at);
@@ -44,12 +44,12 @@
 }
 
 /** A field as text; empty where it is missing. */
-export function textOf({ fields }: Event, name: string): string {
+export function textField({ fields }: LogEvent, name: string): string {
   const value = fields[name];
   return typeof value === 'string' || typeof value === 'number' ? String(value) : '';
 }
 
-export function numberOf({ fields }: Event, name: string): number | undefined {
+export function numberField({ fields }: LogEvent, name: string): number | undefined {
   const value = fields[name];
   return typeof value === 'number' ? value : undefined;
 }
--- a/src/core/report/groups.ts
+++ b/src/core/report/groups.ts
@@ -1,8 +1,8 @@
 /** How long groups were missing, and which step took that time. */
 
 import { quantile } from '../explain/quantile';
-import { groupBy, textOf } from './events';
-import type { Event } from './events';
+import { groupBy, textField } from './events';
+import type { LogEvent } from './events';
 import type { ModelSummary } from './types';
 
 /** One group as the daemons saw it; instants are undefined where the logs do not hold them. */
@@ -13,18 +13,18 @@
   readonly endsAt: number | undefined;
 }
 
-function firstAt(events: readonly Event[], message: string): number | undefined {
+function firstAt(events: readonly LogEvent[], message: string): number | undefined {
   return events.find((event) => event.message === message)?.at;
 }
 
 /** Groups serve from the first daemon that sees it, and no more from the first that sees that. */
-function livesOf(events: readonly Event[]): GroupLife[] {
+function livesOf(events: readonly LogEvent[]): GroupLife[] {
   const byGroup = groupBy(
-    events.filter((event) => textOf(event, 'group') !== ''),
-    (event) => textOf(event, 'group'),
+    events.filter((event) => textField(event, 'group') !== ''),
+    (event) => textField(event, 'group'),
   );
   return [...byGroup.values()].map((own) => ({
-    model: own.map((event) => textOf(event, 'model')).find((model) => model !== '') ?? '',
+    model: own.map((event) => textField(event, 'model')).find((model) => model !== '') ?? '',
     formingAt: firstAt(own, 'forming group'),
     servesAt: firstAt(own, 'group serves'),
     endsAt: firstAt(own, 'group serves no more') ?? firstAt(own, 'ending group'),
@@ -57,7 +57,7 @@
   });
 }
 
-export function summarizeModels(events: readonly Event[], lastsMs: number): ModelSummary[] {
+export function summarizeModels(events: readonly LogEvent[], lastsMs: number): ModelSummary[] {
   const byModel = groupBy(
     livesOf(events).filter(({ model, servesAt }) => model !== '' && servesAt !== undefined),
     ({ model }) => model,
--- a/src/core/report/report.ts
+++ b/src/core/report/report.ts
@@ -4,30 +4,30 @@
  */
 
 import type { LogLine } from '../explain/log-line';
-import { createTimeline, groupBy, numberOf, textOf } from './events';
-import type { Event } from './events';
+import { createTimeline, groupBy, numberField, textField } from './events';
+import type { LogEvent } from './events';
 import { summarizeModels } from './groups';
-import { countSeconds, isEnd, summarizeReasons, summarizeRequests } from './requests';
-import type { Outage, Report, ReturnSummary, VersionSummary } from './types';
+import { countBySecond, isRequestEnd, summarizeReasons, summarizeRequests } from './requests';
+import type { Outage, Report, StoreReturn, VersionSummary } from './types';
 import { listWork } from './work';
 
-function findOutages(events: readonly Event[]): Outage[] {
-  const open = new Map<string, Event>();
+function findOutages(events: readonly LogEvent[]): Outage[] {
+  const open = new Map<string, LogEvent>();
   const outages: Outage[] = [];
-  const toOutage = (lost: Event, ms: number | undefined): Outage => ({
+  const toOutage = (lost: LogEvent, ms: number | undefined): Outage => ({
     daemon: lost.daemon,
-    collection: textOf(lost, 'collection'),
+    collection: textField(lost, 'collection'),
     at: lost.at,
     ms,
   });
   for (const event of events) {
-    const key = `${event.daemon} ${textOf(event, 'collection')}`;
+    const key = `${event.daemon} ${textField(event, 'collection')}`;
     const lost = open.get(key);
     if (event.message === 'store lost') {
       if (lost) outages.push(toOutage(lost, undefined));
       open.set(key, event);
     } else if (event.message === 'store regained' && lost) {
-      outages.push(toOutage(lost, numberOf(event, 'awayMs') ?? event.at - lost.at));
+      outages.push(toOutage(lost, numberField(event, 'awayMs') ?? event.at - lost.at));
       open.delete(key);
     }
   }
@@ -37,20 +37,20 @@
 }
 
 /** The first era that a process sees is no return. */
-function summarizeReturns(events: readonly Event[]): ReturnSummary[] {
+function summarizeReturns(events: readonly LogEvent[]): StoreReturn[] {
   const seen = events.filter(
-    (event) => event.message === 'era of the store' && numberOf(event, 'before') !== 0,
+    (event) => event.message === 'era of the store' && numberField(event, 'before') !== 0,
   );
-  return [...groupBy(seen, (event) => textOf(event, 'era'))].map(([era, own]) => {
+  return [...groupBy(seen, (event) => textField(event, 'era'))].map(([era, own]) => {
     const times = own.map(({ at }) => at);
     const at = Math.min(...times);
     return { era: Number(era), at, spreadMs: Math.max(...times) - at, daemons: own.length };
   });
 }
 
-function summarizeVersions(events: readonly Event[]): VersionSummary[] {
+function summarizeVersions(events: readonly LogEvent[]): VersionSummary[] {
   const inForce = events.filter(({ message }) => message === 'configuration in force');
-  return [...groupBy(inForce, (event) => textOf(event, 'version'))].map(([version, own]) => {
+  return [...groupBy(inForce, (event) => textField(event, 'version'))].map(([version, own]) => {
     // A process that started again learns versions that are long in force.
     const first = new Map<string, number>();
     for (const { daemon, at } of own) if (!first.has(daemon)) first.set(daemon, at);
@@ -68,14 +68,14 @@
 export function createReport(lines: readonly LogLine[]): Report {
   const { startedAt, events } = createTimeline(lines);
   const lastsMs = events.at(-1)?.at ?? 0;
-  const ends = events.filter(isEnd);
+  const ends = events.filter(isRequestEnd);
   return {
     startedAt,
     lastsMs,
     daemons: [...new Set(events.map(({ daemon }) => daemon))].sort(),
     requests: summarizeRequests(ends),
     reasons: summarizeReasons(ends),
-    seconds: countSeconds(ends),
+    seconds: countBySecond(ends),
     models: summarizeModels(events, lastsMs),
     work: listWork(events),
     outages: findOutages(events),
--- a/src/core/report/requests.ts
+++ b/src/core/report/requests.ts
@@ -1,47 +1,47 @@
 /** What became of requests, by kind, reason and second. */
 
 import { quantile } from '../explain/quantile';
-import { groupBy, numberOf, textOf } from './events';
-import type { Event } from './events';
-import type { ReasonSummary, RequestSummary, Second } from './types';
+import { groupBy, numberField, textField } from './events';
+import type { LogEvent } from './events';
+import type { ReasonSummary, RequestSummary, OutcomeSecond } from './types';
 
 const MS_PER_S = 1_000;
 
 /** Ends of requests that had a route, and refusals of those that had none. */
 const ENDS: ReadonlySet<string> = new Set(['request ended', 'request refused']);
 
-export function isEnd({ message }: Event): boolean {
+export function isRequestEnd({ message }: LogEvent): boolean {
   return ENDS.has(message);
 }
 
-function outcomeOf(end: Event): string {
+function outcomeOf(end: LogEvent): string {
   if (end.message === 'request refused') {
-    return textOf(end, 'status') === '503' ? 'refused' : 'denied';
+    return textField(end, 'status') === '503' ? 'refused' : 'denied';
   }
-  return textOf(end, 'outcome');
+  return textField(end, 'outcome');
 }
 
-function nameOf(end: Event): string {
-  return textOf(end, 'model') || textOf(end, 'route') || 'no route';
+function nameOf(end: LogEvent): string {
+  return textField(end, 'model') || textField(end, 'route') || 'no route';
 }
 
 /** Served streams whose first event came after their objective. */
-function isLate(end: Event): boolean {
-  const [first, target] = [numberOf(end, 'firstEventMs'), numberOf(end, 'targetMs')];
+function isLate(end: LogEvent): boolean {
+  const [first, target] = [numberField(end, 'firstEventMs'), numberField(end, 'targetMs')];
   return first !== undefined && target !== undefined && first > target;
 }
 
-function waitedMs(end: Event): number {
-  return numberOf(end, 'waitedMs') ?? 0;
+function waitedMs(end: LogEvent): number {
+  return numberField(end, 'waitedMs') ?? 0;
 }
 
-export function summarizeRequests(ends: readonly Event[]): RequestSummary[] {
+export function summarizeRequests(ends: readonly LogEvent[]): RequestSummary[] {
   return [...groupBy(ends, nameOf)]
     .map(([name, own]) => {
       const served = own.filter((end) => outcomeOf(end) === 'served');
-      const times = served.flatMap((end) => numberOf(end, 'ms') ?? []);
+      const times = served.flatMap((end) => numberField(end, 'ms') ?? []);
       const late = served.filter(isLate);
-      const firstMs = late.map((end) => (numberOf(end, 'firstEventMs') ?? 0) - waitedMs(end));
+      const firstMs = late.map((end) => (numberField(end, 'firstEventMs') ?? 0) - waitedMs(end));
       return {
         name,
         ended: own.length,
@@ -57,9 +57,9 @@
 }
 
 /** The commonest first. */
-export function summarizeReasons(ends: readonly Event[]): ReasonSummary[] {
+export function summarizeReasons(ends: readonly LogEvent[]): ReasonSummary[] {
   const lost = ends.filter((end) => outcomeOf(end) !== 'served');
-  return [...groupBy(lost, (end) => `${outcomeOf(end)}\0${textOf(end, 'reason')}`)]
+  return [...groupBy(lost, (end) => `${outcomeOf(end)}\0${textField(end, 'reason')}`)]
     .map(([key, own]) => {
       const [outcome = '', reason = ''] = key.split('\0');
       return {
@@ -73,7 +73,7 @@
     .sort((a, b) => b.count - a.count);
 }
 
-export function countSeconds(ends: readonly Event[]): Second[] {
+export function countBySecond(ends: readonly LogEvent[]): OutcomeSecond[] {
   const bySecond = groupBy(ends, ({ at }) => String(Math.floor(at / MS_PER_S)));
   return [...bySecond]
     .map(([second, own]) => ({
--- a/src/core/report/types.ts
+++ b/src/core/report/types.ts
@@ -25,7 +25,7 @@
 }
 
 /** What ended in one second, by outcome. */
-export interface Second {
+export interface OutcomeSecond {
   readonly at: number;
   readonly outcomes: Readonly<Record<string, number>>;
 }
@@ -45,7 +45,7 @@
 }
 
 /** Places of a model and the requests in them or without one, as the leader knew them. */
-export interface WorkSecond {
+export interface WorkSample {
   readonly at: number;
   readonly model: string;
   readonly groups: number;
@@ -68,7 +68,7 @@
 }
 
 /** How daemons learned that the store came back from an older copy. */
-export interface ReturnSummary {
+export interface StoreReturn {
   readonly era: number;
   /** When the first daemon saw the era. */
   readonly at: number;
@@ -93,11 +93,11 @@
   readonly daemons: readonly string[];
   readonly requests: readonly RequestSummary[];
   readonly reasons: readonly ReasonSummary[];
-  readonly seconds: readonly Second[];
+  readonly seconds: readonly OutcomeSecond[];
   readonly models: readonly ModelSummary[];
-  readonly work: readonly WorkSecond[];
+  readonly work: readonly WorkSample[];
   readonly outages: readonly Outage[];
-  readonly returns: readonly ReturnSummary[];
+  readonly returns: readonly StoreReturn[];
   readonly versions: readonly VersionSummary[];
   readonly leaders: readonly { readonly daemon: string; readonly at: number }[];
 }
--- a/src/core/retry/budget.ts
+++ b/src/core/retry/budget.ts
@@ -14,7 +14,7 @@
 export interface RetryBudget {
   readonly share: number;
   readonly burst: number;
-  readonly saved: number;
+  readonly tokens: number;
 }
 
 const DEFAULTS = { share: 0.1, burst: 20 } as const;
@@ -22,14 +22,14 @@
 /** Starts full, so that the first failures of a new process may be tried again. */
 export function createBudget(options: BudgetOptions = {}): RetryBudget {
   const { share, burst } = { ...DEFAULTS, ...options };
-  return { share, burst, saved: burst };
+  return { share, burst, tokens: burst };
 }
 
-export function payIn(budget: RetryBudget): RetryBudget {
-  return { ...budget, saved: Math.min(budget.burst, budget.saved + budget.share) };
+export function deposit(budget: RetryBudget): RetryBudget {
+  return { ...budget, tokens: Math.min(budget.burst, budget.tokens + budget.share) };
 }
 
 /** Undefined if nothing is left to take. */
-export function takeOut(budget: RetryBudget): RetryBudget | undefined {
-  return budget.saved < 1 ? undefined : { ...budget, saved: budget.saved - 1 };
+export function tryWithdraw(budget: RetryBudget): RetryBudget | undefined {
+  return budget.tokens < 1 ? undefined : { ...budget, tokens: budget.tokens - 1 };
 }
--- a/src/core/retry/decide.ts
+++ b/src/core/retry/decide.ts
@@ -18,7 +18,7 @@
   'not-sent' | 'refused' | 'wrong-group' | 'lost' | 'bad-answer' | 'given-up';
 
 /** What an attempt that failed so means for the submission's exposure. */
-export const EXPOSURE_OF: Readonly<Record<Exclude<AttemptFailure, 'given-up'>, Exposure>> = {
+export const EXPOSURE_BY_FAILURE: Readonly<Record<Exclude<AttemptFailure, 'given-up'>, Exposure>> = {
   'not-sent': 'none',
   refused: 'refused',
   'wrong-group': 'refused',
--- a/src/core/retry/isolate.ts
+++ b/src/core/retry/isolate.ts
@@ -4,7 +4,7 @@
 import type { Fingerprint } from '../ids';
 import { compareText } from '../../utils/common';
 import { hashText } from '../routing/hash';
-import { coBlamed, probedGroups, runsOn, struckDomains, suspicionOf } from './quarantine';
+import { jointSuspects, probedGroups, countRunsOn, struckDomains, suspicionOf } from './quarantine';
 import type { QuarantineContext, QuarantineState } from './quarantine-types';
 
 /** The groups for which `fits` holds, or all if it holds for none. */
@@ -50,19 +50,19 @@
 ): readonly RoutableGroup[] {
   const struck = struckDomains(state, fingerprint, ctx);
   const elsewhere = preferring(groups, ({ domain }) => !struck.has(domain));
-  const suspects = coBlamed(state, fingerprint);
+  const suspects = jointSuspects(state, fingerprint);
   if (elsewhere.length > 0 && suspects.length > 1) {
     const own = ownGroup(suspects, fingerprint, elsewhere);
     return own === undefined ? elsewhere : [own];
   }
   const probed = probedGroups(state);
   const alone = preferring(elsewhere, ({ id }) => !probed.has(id));
-  const least = Math.min(...alone.map(({ id }) => runsOn(state, id)));
-  return alone.filter(({ id }) => runsOn(state, id) === least);
+  const least = Math.min(...alone.map(({ id }) => countRunsOn(state, id)));
+  return alone.filter(({ id }) => countRunsOn(state, id) === least);
 }
 
 /** Of the groups, those to which the request may go; never none, if there is any. */
-export function openGroups(
+export function allowedGroups(
   state: QuarantineState,
   fingerprint: Fingerprint,
   groups: readonly RoutableGroup[],
--- a/src/core/retry/quarantine-types.ts
+++ b/src/core/retry/quarantine-types.ts
@@ -17,11 +17,11 @@
   /** A torn run and the loss of its group belong together within this time, milliseconds. */
   readonly blameMs: number;
   /** Groups lost within this time are lost together, milliseconds; strikes wait as long. */
-  readonly togetherMs: number;
+  readonly correlationWindowMs: number;
   /** So many groups of one domain lost together are a fault of the domain. */
-  readonly domainGroups: number;
+  readonly domainFaultGroups: number;
   /** So many groups lost together, of whatever domains, are no request's fault. */
-  readonly wideGroups: number;
+  readonly wideFaultGroups: number;
   /** Fingerprints remembered at most; those whose strikes end first go first. */
   readonly maxFingerprints: number;
 }
@@ -32,9 +32,9 @@
   ageSlackMs: 300,
   retentionMs: 10 * 60_000,
   blameMs: 3_000,
-  togetherMs: 1_000,
-  domainGroups: 2,
-  wideGroups: 3,
+  correlationWindowMs: 1_000,
+  domainFaultGroups: 2,
+  wideFaultGroups: 3,
   maxFingerprints: 10_000,
 };
 
@@ -59,7 +59,7 @@
 }
 
 /** Strikes whose time to be decided on has come. */
-export interface SettledStrikes {
+export interface DecidedStrikes {
   readonly counting: readonly PendingStrike[];
   /** Groups were lost together: these never count. */
   readonly dropped: readonly PendingStrike[];
@@ -77,7 +77,7 @@
 }
 
 /** A run whose connection broke. */
-export interface TornRun extends Run {
+export interface InterruptedRun extends Run {
   readonly tornAt: MonoTime;
 }
 
@@ -103,7 +103,7 @@
   /** Strikes of late, whatever became of them. */
   recent: Strike[];
   readonly running: Map<AttemptId, Run>;
-  torn: TornRun[];
+  torn: InterruptedRun[];
   lost: LostGroup[];
 }
 
--- a/src/core/retry/quarantine.ts
+++ b/src/core/retry/quarantine.ts
@@ -14,10 +14,10 @@
   QuarantineOptions,
   QuarantineState,
   Run,
-  SettledStrikes,
+  DecidedStrikes,
   Strike,
   Suspicion,
-  TornRun,
+  InterruptedRun,
 } from './quarantine-types';
 
 export function createQuarantine(opts: Partial<QuarantineOptions> = {}): QuarantineState {
@@ -57,7 +57,7 @@
   state: QuarantineState,
   fingerprint: Fingerprint,
   { now }: QuarantineContext,
-): readonly TornRun[] {
+): readonly InterruptedRun[] {
   return state.torn.filter(
     (run) => run.fingerprint === fingerprint && now - run.tornAt < state.opts.blameMs,
   );
@@ -83,7 +83,7 @@
 }
 
 /** Own runs on a group. */
-export function runsOn(state: QuarantineState, group: GroupId): number {
+export function countRunsOn(state: QuarantineState, group: GroupId): number {
   let count = 0;
   for (const run of state.running.values()) if (run.group === group) count += 1;
   return count;
@@ -104,7 +104,7 @@
 }
 
 /** All requests blamed for the latest loss that this one met, itself included; in order. */
-export function coBlamed(state: QuarantineState, fingerprint: Fingerprint): readonly Fingerprint[] {
+export function jointSuspects(state: QuarantineState, fingerprint: Fingerprint): readonly Fingerprint[] {
   const all = allStrikes(state);
   const own = all.filter((strike) => strike.fingerprint === fingerprint);
   const latest = own.sort((a, b) => b.at - a.at)[0];
@@ -142,7 +142,7 @@
 }
 
 /** A suspect gave a whole answer. True if it had strikes. */
-export function clear(state: QuarantineState, fingerprint: Fingerprint): boolean {
+export function clearStrikes(state: QuarantineState, fingerprint: Fingerprint): boolean {
   const had = state.strikes.delete(fingerprint);
   const before = state.pending.length;
   state.pending = state.pending.filter((strike) => strike.fingerprint !== fingerprint);
@@ -150,7 +150,7 @@
 }
 
 /** The run's connection broke: if its group is lost as well, that is a strike. */
-export function onRunTorn(
+export function onRunInterrupted(
   state: QuarantineState,
   attempt: AttemptId,
   ctx: QuarantineContext,
@@ -184,7 +184,7 @@
 /** Blames all that ran; where a suspect was among them, the others are let off when it is decided. */
 function blame(
   state: QuarantineState,
-  torn: readonly TornRun[],
+  torn: readonly InterruptedRun[],
   ctx: QuarantineContext,
 ): readonly Strike[] {
   const until = later(ctx.epoch, state.opts.retentionMs);
@@ -207,7 +207,7 @@
   const keptMs = 2 * state.opts.blameMs;
   state.recent = state.recent.filter(({ at }) => epoch - at < keptMs);
   state.recent.push(strike);
-  state.pending.push({ ...strike, isOwn, dueAt: later(now, state.opts.togetherMs) });
+  state.pending.push({ ...strike, isOwn, dueAt: later(now, state.opts.correlationWindowMs) });
 }
 
 /** A peer's strike. A recent one is weighed by what this daemon itself sees of lost groups. */
@@ -229,7 +229,7 @@
 }
 
 function lostTogether(state: QuarantineState, strike: Strike): readonly LostGroup[] {
-  const { togetherMs } = state.opts;
+  const { correlationWindowMs: togetherMs } = state.opts;
   return state.lost.filter((loss) => Math.abs(loss.epochAt - strike.at) <= togetherMs);
 }
 
@@ -242,7 +242,7 @@
   const together = lostTogether(state, strike);
   const isDark = together.some(({ group, domainDark }) => group === strike.group && domainDark);
   const inDomain = together.filter(({ domain }) => domain === strike.domain);
-  const { domainGroups, wideGroups } = state.opts;
+  const { domainFaultGroups: domainGroups, wideFaultGroups: wideGroups } = state.opts;
   return (
     isDark || distinctGroups(inDomain) >= domainGroups || distinctGroups(together) >= wideGroups
   );
@@ -258,7 +258,7 @@
 }
 
 /** Decides on the strikes that are due. */
-export function settleStrikes(state: QuarantineState, ctx: QuarantineContext): SettledStrikes {
+export function decideDueStrikes(state: QuarantineState, ctx: QuarantineContext): DecidedStrikes {
   const due = state.pending.filter(({ dueAt }) => dueAt <= ctx.now);
   if (due.length === 0) return { counting: [], dropped: [] };
   state.pending = state.pending.filter(({ dueAt }) => dueAt > ctx.now);
@@ -273,7 +273,7 @@
 }
 
 /** When `settleStrikes` next has something to do. */
-export function nextSettle(state: QuarantineState): MonoTime | undefined {
+export function nextDecisionAt(state: QuarantineState): MonoTime | undefined {
   return state.pending[0]?.dueAt;
 }
 
--- a/src/core/routing/cache.ts
+++ b/src/core/routing/cache.ts
@@ -4,7 +4,7 @@
  */
 
 import type { GroupId, MonoTime, OrganisationId } from '../ids';
-import type { CacheBelief, CacheEvent, CacheEvents, GroupState, RoutingState } from './types';
+import type { CacheEstimate, CacheEvent, CacheEvents, GroupState, RoutingState } from './types';
 
 /** Belief after our own request with that prefix was sent. */
 const SENT_PROBABILITY = 0.8;
@@ -18,8 +18,8 @@
   return `${organisation}\0${prefixKey}`;
 }
 
-function remember(state: RoutingState, key: string, group: GroupId, belief: CacheBelief): void {
-  const beliefs = state.prefixes.get(key) ?? new Map<GroupId, CacheBelief>();
+function remember(state: RoutingState, key: string, group: GroupId, belief: CacheEstimate): void {
+  const beliefs = state.prefixes.get(key) ?? new Map<GroupId, CacheEstimate>();
   beliefs.set(group, belief);
   // Put again, so that the map's order is that of last use.
   state.prefixes.delete(key);
@@ -30,14 +30,14 @@
 }
 
 /** Own send: the group will probably hold these prefixes. */
-export function noteSent(
+export function recordSentPrefixes(
   state: RoutingState,
   group: GroupState,
   keys: readonly string[],
   now: MonoTime,
 ): void {
   for (const key of keys) {
-    const known = probability(state, key, group, now);
+    const known = hitProbability(state, key, group, now);
     const belief = Math.max(known, SENT_PROBABILITY);
     remember(state, key, group.id, { probability: belief, at: now, gaps: group.cacheGaps });
   }
@@ -55,7 +55,7 @@
 };
 
 /** Takes in an engine's events; those seen before are passed over. */
-export function noteEvents(
+export function applyCacheEvents(
   state: RoutingState,
   group: GroupState,
   batch: CacheEvents,
@@ -71,7 +71,7 @@
 }
 
 /** Probability that the group holds the prefix. */
-export function probability(
+export function hitProbability(
   state: RoutingState,
   key: string,
   group: GroupState,
@@ -85,7 +85,7 @@
 }
 
 /** Expected share of the prompt's prefixes that the group holds. */
-export function expectedHit(
+export function expectedHitRatio(
   state: RoutingState,
   keys: readonly string[],
   group: GroupState,
@@ -93,7 +93,7 @@
 ): number {
   let best = 0;
   for (const [i, key] of keys.entries()) {
-    best = Math.max(best, (probability(state, key, group, now) * (i + 1)) / keys.length);
+    best = Math.max(best, (hitProbability(state, key, group, now) * (i + 1)) / keys.length);
   }
   return best;
 }
--- a/src/core/routing/load.ts
+++ b/src/core/routing/load.ts
@@ -7,11 +7,11 @@
 const HISTORY_POINTS = 64;
 
 export function createLoad(): GroupLoad {
-  return { inFlight: 0, history: [], others: 0, reportedAt: undefined };
+  return { inFlight: 0, history: [], peerLoad: 0, reportedAt: undefined };
 }
 
 /** Adds `by` own requests, from `now` on. */
-export function changeLoad(load: GroupLoad, by: 1 | -1, now: MonoTime): void {
+export function adjustInFlight(load: GroupLoad, by: 1 | -1, now: MonoTime): void {
   load.inFlight += by;
   load.history.push({ at: now, inFlight: load.inFlight });
   if (load.history.length > HISTORY_POINTS) load.history.splice(0, HISTORY_POINTS / 2);
@@ -27,14 +27,14 @@
 }
 
 /** Takes in a report, less what it counts of our own. */
-export function takeReport(
+export function applyLoadReport(
   load: GroupLoad,
   report: LoadReport,
   now: MonoTime,
   opts: RoutingOptions,
 ): void {
   const own = inFlightAt(load, (now - opts.reportLagMs) as MonoTime);
-  load.others = Math.max(0, report.inFlight + report.queued - own);
+  load.peerLoad = Math.max(0, report.inFlight + report.queued - own);
   load.reportedAt = now;
 }
 
@@ -48,5 +48,5 @@
   if (load.reportedAt === undefined) return load.inFlight + meanOthers;
   const ageMs = now - load.reportedAt + opts.reportLagMs;
   const trust = 0.5 ** (ageMs / opts.reportHalfLifeMs);
-  return load.inFlight + meanOthers + (load.others - meanOthers) * trust;
+  return load.inFlight + meanOthers + (load.peerLoad - meanOthers) * trust;
 }
--- a/src/core/routing/policies.ts
+++ b/src/core/routing/policies.ts
@@ -1,30 +1,30 @@
 /** The policies that choose among the groups of a model. */
 
-import type { ChanceContext } from '../random';
-import { expectedHit } from './cache';
+import type { RandomContext } from '../random';
+import { expectedHitRatio } from './cache';
 import { hashText, mixHashes } from './hash';
 import { estimateLoad } from './load';
 import type { GroupState, ModelState, RoutingPolicyName, RoutingState } from './types';
 
 /** What a policy may look at. */
-export interface Choice {
+export interface ChoiceContext {
   readonly state: RoutingState;
   readonly model: ModelState;
   /** Affinity keys of the request's prefixes, shortest first. */
   readonly keys: readonly string[];
-  readonly ctx: ChanceContext;
+  readonly ctx: RandomContext;
 }
 
 export interface RoutingPolicy {
   /** Whether stragglers are kept from it. */
-  readonly ejects: boolean;
+  readonly ejectsStragglers: boolean;
   /** Picks one of `groups`, which are not empty. */
-  choose(groups: readonly GroupState[], choice: Choice): GroupState | undefined;
+  choose(groups: readonly GroupState[], choice: ChoiceContext): GroupState | undefined;
 }
 
 /** Load as a share of a batch, after one more request, on a group of average speed. */
-function fill(group: GroupState, { state, model, ctx }: Choice): number {
-  const load = estimateLoad(group.load, model.meanOthers, ctx.now, state.opts);
+function fill(group: GroupState, { state, model, ctx }: ChoiceContext): number {
+  const load = estimateLoad(group.load, model.meanPeerLoad, ctx.now, state.opts);
   return ((load + 1) * group.slowness) / group.maxBatch;
 }
 
@@ -32,7 +32,7 @@
 function cheapest(
   groups: readonly GroupState[],
   cost: (group: GroupState) => number,
-  { ctx }: Choice,
+  { ctx }: ChoiceContext,
 ): GroupState | undefined {
   let best: GroupState | undefined;
   let bestCost = Infinity;
@@ -48,12 +48,12 @@
   return best;
 }
 
-function pickRandom(groups: readonly GroupState[], { ctx }: Choice): GroupState | undefined {
+function pickRandom(groups: readonly GroupState[], { ctx }: ChoiceContext): GroupState | undefined {
   return groups[Math.floor(ctx.random.next() * groups.length)];
 }
 
 /** Two by lot, the less loaded of them (Mitzenmacher, "The power of two choices"). */
-function chooseOfTwo(groups: readonly GroupState[], choice: Choice): GroupState | undefined {
+function chooseOfTwo(groups: readonly GroupState[], choice: ChoiceContext): GroupState | undefined {
   const first = pickRandom(groups, choice);
   const rest = groups.filter((group) => group !== first);
   const second = pickRandom(rest, choice);
@@ -68,7 +68,7 @@
 function affinityCandidates(
   groups: readonly GroupState[],
   key: string,
-  choice: Choice,
+  choice: ChoiceContext,
 ): readonly GroupState[] {
   const loads = groups.map((group) => fill(group, choice));
   const mean = loads.reduce((sum, load) => sum + load, 0) / groups.length;
@@ -83,14 +83,14 @@
 
 function chooseBoundedAffinity(
   groups: readonly GroupState[],
-  choice: Choice,
+  choice: ChoiceContext,
 ): GroupState | undefined {
   const [key] = choice.keys;
   if (key === undefined) return chooseOfTwo(groups, choice);
   const { state, keys, ctx } = choice;
   const candidates = affinityCandidates(groups, key, choice);
   const cost = (group: GroupState) =>
-    fill(group, choice) - state.opts.cacheBonus * expectedHit(state, keys, group, ctx.now);
+    fill(group, choice) - state.opts.cacheBonus * expectedHitRatio(state, keys, group, ctx.now);
   return cheapest(candidates, cost, choice);
 }
 
@@ -114,7 +114,7 @@
 }
 
 /** Load and cache weighed for every group; a hit outweighs a bounded difference of load alone. */
-function chooseByAffinity(groups: readonly GroupState[], choice: Choice): GroupState | undefined {
+function chooseByAffinity(groups: readonly GroupState[], choice: ChoiceContext): GroupState | undefined {
   const { state, keys, ctx } = choice;
   const { cacheBonus, homePrior, overflowCost } = state.opts;
   const [key] = keys;
@@ -122,7 +122,7 @@
   const homes = homesOf(groups, key);
   const cost = (group: GroupState) => {
     const filled = fill(group, choice);
-    const known = expectedHit(state, keys, group, ctx.now);
+    const known = expectedHitRatio(state, keys, group, ctx.now);
     const hit = homes.has(group) ? Math.max(known, homePrior) : known;
     return filled + overflowCost * Math.max(0, filled - 1) - cacheBonus * hit;
   };
@@ -131,22 +131,22 @@
 
 export const ROUTING_POLICIES: Readonly<Record<RoutingPolicyName, RoutingPolicy>> = {
   'round-robin': {
-    ejects: false,
+    ejectsStragglers: false,
     choose: (groups, { model }) => {
-      model.turn += 1;
-      return groups[model.turn % groups.length];
+      model.roundRobinIndex += 1;
+      return groups[model.roundRobinIndex % groups.length];
     },
   },
-  random: { ejects: false, choose: pickRandom },
+  random: { ejectsStragglers: false, choose: pickRandom },
   'least-in-flight': {
-    ejects: false,
+    ejectsStragglers: false,
     choose: (groups, choice) => cheapest(groups, (group) => group.load.inFlight, choice),
   },
   'least-estimated': {
-    ejects: true,
+    ejectsStragglers: true,
     choose: (groups, choice) => cheapest(groups, (group) => fill(group, choice), choice),
   },
-  'two-choices': { ejects: true, choose: chooseOfTwo },
-  'bounded-affinity': { ejects: true, choose: chooseBoundedAffinity },
-  affinity: { ejects: true, choose: chooseByAffinity },
+  'two-choices': { ejectsStragglers: true, choose: chooseOfTwo },
+  'bounded-affinity': { ejectsStragglers: true, choose: chooseBoundedAffinity },
+  affinity: { ejectsStragglers: true, choose: chooseByAffinity },
 };
--- a/src/core/routing/routing.ts
+++ b/src/core/routing/routing.ts
@@ -6,13 +6,13 @@
 import type { RoutableGroup } from '../groups/types';
 import type { GroupId, ModelId, MonoTime } from '../ids';
 import { later } from '../ids';
-import type { ChanceContext } from '../random';
+import type { RandomContext } from '../random';
 import type { StepContext } from '../reducer';
-import { affinityKey, noteEvents, noteSent } from './cache';
+import { affinityKey, applyCacheEvents, recordSentPrefixes } from './cache';
 import { hashText } from './hash';
-import { changeLoad, createLoad, estimateLoad, takeReport } from './load';
+import { adjustInFlight, createLoad, estimateLoad, applyLoadReport } from './load';
 import { ROUTING_POLICIES } from './policies';
-import { addSample, countEjected, createAverage, inStanding, judge } from './stragglers';
+import { addSample, countEjected, createAverage, eligibleGroups, updateEjections } from './stragglers';
 import { ROUTING_DEFAULTS } from './types';
 import type {
   CacheEvents,
@@ -45,7 +45,7 @@
 }
 
 /** Chooses a group for one attempt; none when no group is left to try. */
-export function chooseGroup(state: RoutingState, req: RouteRequest, ctx: ChanceContext): Route {
+export function chooseGroup(state: RoutingState, req: RouteRequest, ctx: RandomContext): Route {
   const offered = new Map<GroupId, RoutableGroup>();
   const known: GroupState[] = [];
   for (const group of req.groups) {
@@ -61,7 +61,7 @@
   sweepIfDue(state, ctx.now);
   const policy = ROUTING_POLICIES[state.opts.policy];
   const open = known.filter((group) => offered.has(group.id));
-  const groups = policy.ejects ? inStanding(open, ctx.now, state.opts, ctx.random) : open;
+  const groups = policy.ejectsStragglers ? eligibleGroups(open, ctx.now, state.opts, ctx.random) : open;
   const keys = req.prefixKeys.map((key) => affinityKey(req.organisation, key));
   const chosen = policy.choose(groups, { state, model, keys, ctx });
   return { state, group: chosen && offered.get(chosen.id) };
@@ -71,17 +71,17 @@
 export function onSent(state: RoutingState, event: SentEvent, { now }: StepContext): RoutingState {
   const group = state.groups.get(event.group);
   if (group === undefined || state.attempts.has(event.attempt)) return state;
-  const meanOthers = state.models.get(group.model)?.meanOthers ?? 0;
+  const meanOthers = state.models.get(group.model)?.meanPeerLoad ?? 0;
   const hadRoom = estimateLoad(group.load, meanOthers, now, state.opts) < group.maxBatch;
   const { streams = false } = event;
   const attempt = { group: event.group, sentAt: now, hadRoom, streams, firstTokenAt: undefined };
   state.attempts.set(event.attempt, attempt);
   if (hadRoom && streams) group.waiting.set(event.attempt, now);
-  changeLoad(group.load, 1, now);
+  adjustInFlight(group.load, 1, now);
   const { organisation, prefixKeys = [] } = event;
   if (organisation === undefined) return state;
   const keys = prefixKeys.map((key) => affinityKey(organisation, key));
-  noteSent(state, group, keys, now);
+  recordSentPrefixes(state, group, keys, now);
   return state;
 }
 
@@ -109,7 +109,7 @@
   const group = state.groups.get(attempt.group);
   if (group === undefined) return state;
   group.waiting.delete(event.attempt);
-  changeLoad(group.load, -1, now);
+  adjustInFlight(group.load, -1, now);
   const { tokens = 0 } = event;
   if (attempt.firstTokenAt !== undefined && tokens > 1) {
     addSample(group.interTokenMs, (now - attempt.firstTokenAt) / (tokens - 1));
@@ -124,7 +124,7 @@
   { now }: StepContext,
 ): RoutingState {
   const group = state.groups.get(report.group);
-  if (group !== undefined) takeReport(group.load, report, now, state.opts);
+  if (group !== undefined) applyLoadReport(group.load, report, now, state.opts);
   return state;
 }
 
@@ -135,7 +135,7 @@
   { now }: StepContext,
 ): RoutingState {
   const group = state.groups.get(batch.group);
-  if (group !== undefined) noteEvents(state, group, batch, now);
+  if (group !== undefined) applyCacheEvents(state, group, batch, now);
   return state;
 }
 
@@ -169,7 +169,7 @@
 function modelOf(state: RoutingState, id: ModelId, now: MonoTime): ModelState {
   const known = state.models.get(id);
   if (known !== undefined) return known;
-  const model: ModelState = { turn: -1, judgeAt: now, meanOthers: 0 };
+  const model: ModelState = { roundRobinIndex: -1, nextEvaluationAt: now, meanPeerLoad: 0 };
   state.models.set(id, model);
   return model;
 }
@@ -180,14 +180,14 @@
   groups: readonly GroupState[],
   now: MonoTime,
 ): void {
-  if (now < shared.judgeAt) return;
-  shared.judgeAt = later(now, state.opts.judgeEveryMs);
+  if (now < shared.nextEvaluationAt) return;
+  shared.nextEvaluationAt = later(now, state.opts.judgeEveryMs);
   const reported = groups.filter((group) => group.load.reportedAt !== undefined);
-  const others = reported.reduce((sum, group) => sum + group.load.others, 0);
-  shared.meanOthers = reported.length === 0 ? 0 : others / reported.length;
+  const others = reported.reduce((sum, group) => sum + group.load.peerLoad, 0);
+  shared.meanPeerLoad = reported.length === 0 ? 0 : others / reported.length;
   const model = groups[0]?.model;
   const known = [...state.groups.values()].filter((group) => group.model === model);
-  judge(groups, countEjected(known, now, state.opts), now, state.opts);
+  updateEjections(groups, countEjected(known, now, state.opts), now, state.opts);
 }
 
 function sweepIfDue(state: RoutingState, now: MonoTime): void {
--- a/src/core/routing/stragglers.ts
+++ b/src/core/routing/stragglers.ts
@@ -28,7 +28,7 @@
 }
 
 /** Part of its normal work that a group should get now: 0 while ejected, 1 in good standing. */
-export function standing(group: GroupState, now: MonoTime, opts: RoutingOptions): number {
+export function trafficFraction(group: GroupState, now: MonoTime, opts: RoutingOptions): number {
   if (group.ejectedUntil === undefined) return 1;
   if (now < group.ejectedUntil) return 0;
   const ramp = (now - group.ejectedUntil) / opts.rampMs;
@@ -36,7 +36,7 @@
 }
 
 /** Groups that may be chosen: ejected ones are left out, returning ones take their chance. */
-export function inStanding(
+export function eligibleGroups(
   groups: readonly GroupState[],
   now: MonoTime,
   opts: RoutingOptions,
@@ -44,7 +44,7 @@
 ): readonly GroupState[] {
   if (groups.every((group) => group.ejectedUntil === undefined)) return groups;
   const kept = groups.filter((group) => {
-    const part = standing(group, now, opts);
+    const part = trafficFraction(group, now, opts);
     return part === 1 || random.next() < part;
   });
   // A slow group is better than none.
@@ -104,7 +104,7 @@
   opts: RoutingOptions,
 ): number {
   let out = 0;
-  for (const group of groups) if (standing(group, now, opts) === 0) out += 1;
+  for (const group of groups) if (trafficFraction(group, now, opts) === 0) out += 1;
   return out;
 }
 
@@ -112,7 +112,7 @@
  * Judges the groups of one model; ejects the worst outliers within the floor. `alreadyOut` counts
  * those of the model that are out, whether or not they are among `groups`.
  */
-export function judge(
+export function updateEjections(
   groups: readonly GroupState[],
   alreadyOut: number,
   now: MonoTime,
@@ -120,7 +120,7 @@
 ): void {
   for (const group of groups) forgive(group, now, opts);
   const worst = new Map<GroupState, number>();
-  const inGame = groups.filter((group) => standing(group, now, opts) > 0);
+  const inGame = groups.filter((group) => trafficFraction(group, now, opts) > 0);
   for (const signal of SIGNALS) {
     const measured = inGame.map((group) => signal.measured(group, opts));
     const middle = median(measured.filter((value) => value !== undefined));
--- a/src/core/routing/types.ts
+++ b/src/core/routing/types.ts
@@ -94,7 +94,7 @@
   /** Newest last; bounded. */
   readonly history: LoadPoint[];
   /** Requests of other daemons, by the last report. */
-  others: number;
+  peerLoad: number;
   reportedAt: MonoTime | undefined;
 }
 
@@ -124,10 +124,10 @@
 /** What all groups of one model share. */
 export interface ModelState {
   /** Turn of round robin. */
-  turn: number;
-  judgeAt: MonoTime;
+  roundRobinIndex: number;
+  nextEvaluationAt: MonoTime;
   /** Average load of other daemons per group. */
-  meanOthers: number;
+  meanPeerLoad: number;
 }
 
 export interface AttemptState {
@@ -140,7 +140,7 @@
 }
 
 /** A belief that a group holds a prefix, as of an instant. */
-export interface CacheBelief {
+export interface CacheEstimate {
   readonly probability: number;
   readonly at: MonoTime;
   /** Gaps in the group's events by then. */
@@ -157,7 +157,7 @@
   readonly models: Map<ModelId, ModelState>;
   readonly attempts: Map<AttemptId, AttemptState>;
   /** By affinity key, least recently used first. */
-  readonly prefixes: Map<string, Map<GroupId, CacheBelief>>;
+  readonly prefixes: Map<string, Map<GroupId, CacheEstimate>>;
   choices: number;
 }
 
--- a/src/core/store-era.ts
+++ b/src/core/store-era.ts
@@ -13,20 +13,20 @@
 export const FIRST_ERA = brandAs<StoreEra>(0);
 
 /** A point in the history of the store. Revisions of different eras say nothing of each other. */
-export interface Position {
+export interface StorePosition {
   readonly era: StoreEra;
   readonly revision: number;
 }
 
 /** Before anything was read. */
-export const ORIGIN: Position = { era: FIRST_ERA, revision: 0 };
+export const ORIGIN_POSITION: StorePosition = { era: FIRST_ERA, revision: 0 };
 
 /** Whether `a` knows of more than `b`: of a later era, or of more in the same one. */
-export function isLater(a: Position, b: Position): boolean {
+export function isLater(a: StorePosition, b: StorePosition): boolean {
   return a.era === b.era ? a.revision > b.revision : a.era > b.era;
 }
 
-export function latest(a: Position, b: Position): Position {
+export function latest(a: StorePosition, b: StorePosition): StorePosition {
   return isLater(b, a) ? b : a;
 }
 
--- a/src/ports/gateway.ts
+++ b/src/ports/gateway.ts
@@ -7,7 +7,7 @@
 import type { OrderResult, ServerOrder } from '../core/gateway/orders';
 import type { BackendServer, GatewayConfig } from '../core/gateway/types';
 import type { InstanceId, ModelId, OrganisationId, ServerName } from '../core/ids';
-import type { Position, StoreEra } from '../core/store-era';
+import type { StorePosition, StoreEra } from '../core/store-era';
 import type { StepError } from '../utils/errors';
 import type { Committed, Row, Transaction } from './platform';
 
@@ -20,7 +20,7 @@
 /** Entries as of one point in the history of the platform's store. */
 export interface Changes<T> {
   readonly changes: readonly Change<T>[];
-  readonly position: Position;
+  readonly position: StorePosition;
 }
 
 /**
@@ -34,7 +34,7 @@
   /** The whole collection. */
   load(): ResultAsync<Changes<T>, StepError>;
   /** Waits up to `waitMs` for changes after `position`; fails at once when `signal` aborts. */
-  poll(position: Position, waitMs: number, signal: AbortSignal): ResultAsync<Changes<T>, StepError>;
+  poll(position: StorePosition, waitMs: number, signal: AbortSignal): ResultAsync<Changes<T>, StepError>;
 }
 
 /** Rows of the product's own, as of one era of the store. */
--- a/tests/control-recovery.test.ts
+++ b/tests/control-recovery.test.ts
@@ -113,7 +113,7 @@
   });
 
   it('loads no weights elsewhere before it is given up, and there only what is wanted', async () => {
-    const world = await serving(2, { settings: { domain: { darkGiveUpMs: 60_000 } } });
+    const world = await serving(2, { settings: { domain: { outageDissolveMs: 60_000 } } });
     for (const n of [1, 2, 3, 4]) world.addEngine(`f${n}`, 'd2');
     await world.advance(3_000);
     for (const one of world.engines.values()) one.up = one.id.startsWith('f');
--- a/tests/control-stand-ins.test.ts
+++ b/tests/control-stand-ins.test.ts
@@ -75,8 +75,8 @@
         stateMs: 100,
         pollMs: 100,
         listMs: 100,
-        lease: { ttlMs: 2_000, marginMs: 200, renewMs: 400, backupDelayMs: 300 },
-        domain: { silentMs: 500, confirmMs: 700, orderRetryMs: 100, restartMs: 100 },
+        lease: { ttlMs: 2_000, marginMs: 200, renewMs: 400, rankDelayMs: 300 },
+        domain: { unresponsiveMs: 500, confirmMs: 700, orderRetryMs: 100, restartDelayMs: 100 },
       },
     });
     closing.push(async () => {
--- a/tests/explain.test.ts
+++ b/tests/explain.test.ts
@@ -6,7 +6,7 @@
 import { EXIT } from '../src/cli/command';
 import type { CommandContext } from '../src/cli/command';
 import { explain as explainCommand } from '../src/cli/commands/explain';
-import { explain, readLine } from '../src/core/explain/explain';
+import { explain, parseLogLine } from '../src/core/explain/explain';
 import type { LogLine } from '../src/core/explain/log-line';
 
 const START = Date.parse('2026-01-01T00:00:00.000Z');
@@ -40,7 +40,7 @@
 ];
 
 function read(texts: readonly string[]): LogLine[] {
-  return texts.flatMap((text) => readLine(text) ?? []);
+  return texts.flatMap((text) => parseLogLine(text) ?? []);
 }
 
 describe('the explanation of a request', () => {
@@ -81,11 +81,11 @@
     '{"at":"never","message":"x"}',
     '{"at":',
   ])('passes over what is no line of a daemon: %j', (text) => {
-    expect(readLine(text)).toBeUndefined();
+    expect(parseLogLine(text)).toBeUndefined();
   });
 
   it('reads lines behind the prefix of a collector', () => {
-    expect(readLine(`  12.3 front-1 ${LOG[0]}`)).toMatchObject({ daemon: 'a' });
+    expect(parseLogLine(`  12.3 front-1 ${LOG[0]}`)).toMatchObject({ daemon: 'a' });
   });
 });
 
--- a/tests/faults/requests-world.ts
+++ b/tests/faults/requests-world.ts
@@ -14,7 +14,7 @@
 import { createFakeTable } from '../support/fake-table';
 import type { FakeTable } from '../support/fake-table';
 import { send } from '../support/requests-client';
-import type { Seen } from '../support/requests-client';
+import type { ReceivedResponse } from '../support/requests-client';
 import { listen } from '../support/requests-fixture';
 
 export const STEPS = ['claim', 'send', 'first-byte', 'last-byte', 'record', 'answer'] as const;
@@ -247,7 +247,7 @@
 }
 
 /** What became of a request: an answer, or a connection that broke before there was one. */
-export type Told = Seen | 'broken';
+export type Told = ReceivedResponse | 'broken';
 
 /** Sends the one request that all cells are about. */
 export async function reserve({ url }: DaemonProcess, deadlineMs: number): Promise<Told> {
--- a/tests/faults/requests.test.ts
+++ b/tests/faults/requests.test.ts
@@ -53,7 +53,7 @@
   expect(world.runs.length).toBeLessThanOrEqual(1);
   const ran = new Set(world.runs.map(({ requestId }) => requestId));
   for (const each of told) {
-    if (each === 'broken' || !each.clean) continue;
+    if (each === 'broken' || !each.isComplete) continue;
     const id = String(each.headers['nutmegstack-request-id']);
     const outcome = each.headers['nutmegstack-outcome'];
     expect(['done', 'not-run', 'unknown']).toContain(outcome);
--- a/tests/faults/system.test.ts
+++ b/tests/faults/system.test.ts
@@ -170,7 +170,7 @@
     if (frozen === undefined) throw new Error('nobody holds a lease');
     const other = system.daemons.find((daemon) => daemon !== frozen) ?? frozen;
     const before = (await records()).map(({ heldBy }) => heldBy);
-    frozen.process.freeze();
+    frozen.process.suspend();
     try {
       await until(async () => {
         await answerWhole(other, 1);
--- a/tests/fuzz/admission-fixtures.ts
+++ b/tests/fuzz/admission-fixtures.ts
@@ -16,7 +16,7 @@
   OrganisationId,
   RequestId,
 } from '../../src/core/ids';
-import type { ChanceContext, Random } from '../../src/core/random';
+import type { RandomContext, Random } from '../../src/core/random';
 
 const RANGE = 0x7fff_ffff;
 
@@ -27,7 +27,7 @@
   return { next: () => uniformInt(generator, 0, RANGE - 1) / RANGE };
 }
 
-export function at(now: number, random: Random = seeded(1)): ChanceContext {
+export function at(now: number, random: Random = seeded(1)): RandomContext {
   return { now: brandAs<MonoTime>(now), random };
 }
 
--- a/tests/fuzz/admission.ts
+++ b/tests/fuzz/admission.ts
@@ -13,7 +13,7 @@
   AdmissionPolicyName,
   AdmissionState,
   Refused,
-  Settled,
+  QueueUpdate,
 } from '../../src/core/admission/types';
 import { brandAs } from '../../src/core/ids';
 import type { MonoTime, RequestId } from '../../src/core/ids';
@@ -63,7 +63,7 @@
 }
 
 /** Takes in what a step did to queued requests, then checks what must always hold. */
-function follow(oracle: Oracle, system: System, settled: Settled): void {
+function follow(oracle: Oracle, system: System, settled: QueueUpdate): void {
   for (const { id, verdict } of settled.refused) {
     move(oracle, id, 'queued', 'refused');
     checkRefusal(oracle, verdict);
--- a/tests/fuzz/config-world.ts
+++ b/tests/fuzz/config-world.ts
@@ -11,8 +11,8 @@
   RECENT_KEY,
 } from '../../src/core/config/rows';
 import { NOTHING_IN_FORCE, reduceInForce } from '../../src/core/config/in-force';
-import type { InForceEvent, InForceState, VersionMark } from '../../src/core/config/in-force';
-import { pushOf } from '../../src/core/config/push';
+import type { InForceEvent, InForceState, VersionRef } from '../../src/core/config/in-force';
+import { createPush } from '../../src/core/config/push';
 import type { Push } from '../../src/core/config/push';
 import { reduceSubmit, startSubmit } from '../../src/core/config/submit';
 import type {
@@ -40,7 +40,7 @@
 interface Daemon {
   state: InForceState;
   /** Fetches on their way; an old one may arrive last. */
-  fetches: VersionMark[];
+  fetches: VersionRef[];
   cut: boolean;
 }
 
@@ -124,7 +124,7 @@
 }
 
 /** Submits an amendment of the head and carries it out without a fault. */
-export function change(world: ConfigWorld, daemon: number, share: number): void {
+export function amend(world: ConfigWorld, daemon: number, share: number): void {
   const changeId = `c${world.submissions.length}` as ChangeId;
   const ifVersion = world.history.length as ConfigVersion;
   start(world, daemon, { changeId, ifVersion, document: documentWith(share) });
@@ -145,7 +145,7 @@
   if (submission) carryOut(world, submission, fault);
 }
 
-export function arriveLate(world: ConfigWorld, index: number): void {
+export function applyLate(world: ConfigWorld, index: number): void {
   const arriving = pick(world.late, index);
   if (!arriving) return;
   world.late.splice(world.late.indexOf(arriving), 1);
@@ -205,7 +205,7 @@
   }
 }
 
-export function setCut(world: ConfigWorld, index: number, cut: boolean): void {
+export function setPartitioned(world: ConfigWorld, index: number, cut: boolean): void {
   daemonAt(world, index).cut = cut;
 }
 
@@ -214,7 +214,7 @@
 }
 
 /** What must hold after every step. */
-export function checkAlways(world: ConfigWorld): void {
+export function checkInvariants(world: ConfigWorld): void {
   const ids = world.history.map(({ changeId }) => changeId);
   check(new Set(ids).size === ids.length, `a change took effect twice: ${ids.join()}`);
   for (const { state } of world.daemons) {
@@ -229,9 +229,9 @@
 }
 
 /** Ends all faults; then every daemon must come to the head. */
-export function checkConverges(world: ConfigWorld): void {
-  while (world.late.length > 0) arriveLate(world, 0);
-  checkAlways(world);
+export function checkConvergence(world: ConfigWorld): void {
+  while (world.late.length > 0) applyLate(world, 0);
+  checkInvariants(world);
   world.daemons.forEach((daemon, i) => {
     daemon.cut = false;
     poll(world, i);
@@ -346,7 +346,7 @@
 ): void {
   const { state } = daemonAt(world, daemon);
   if (version <= state.mark.version) return;
-  const push = pushOf(state, version, change.document, PUSH_BYTES);
+  const push = createPush(state, version, change.document, PUSH_BYTES);
   dispatch(world, daemon, {
     kind: 'document',
     mark: push.mark,
--- a/tests/fuzz/config.ts
+++ b/tests/fuzz/config.ts
@@ -4,17 +4,17 @@
 
 import {
   advance,
-  arriveLate,
-  change,
-  checkAlways,
-  checkConverges,
+  applyLate,
+  amend,
+  checkInvariants,
+  checkConvergence,
   createWorld,
   deliver,
   fetch,
   pass,
   poll,
   restart,
-  setCut,
+  setPartitioned,
   submit,
   submitAgain,
 } from './config-world';
@@ -30,7 +30,7 @@
     check: () => true,
     run: (_, world) => {
       run(world);
-      checkAlways(world);
+      checkInvariants(world);
     },
     toString: () => name,
   };
@@ -82,12 +82,12 @@
   ),
   fc.tuple(index, share).map(([i, n]) =>
     command(`change(${i}, ${n})`, (world) => {
-      change(world, i, n);
+      amend(world, i, n);
     }),
   ),
   fc.tuple(index, fc.boolean()).map(([i, cut]) =>
     command(`cut(${i}, ${cut})`, (world) => {
-      setCut(world, i, cut);
+      setPartitioned(world, i, cut);
     }),
   ),
   index.map((i) =>
@@ -97,7 +97,7 @@
   ),
   index.map((i) =>
     command(`arriveLate(${i})`, (world) => {
-      arriveLate(world, i);
+      applyLate(world, i);
     }),
   ),
   index.map((i) =>
@@ -118,7 +118,7 @@
   const property = fc.property(history, (steps) => {
     const world = createWorld();
     fc.modelRun(() => ({ model: {}, real: world }), steps);
-    checkConverges(world);
+    checkConvergence(world);
   });
   fc.assert(property, { seed, numRuns: runs });
 }
--- a/tests/fuzz/lease-eras.ts
+++ b/tests/fuzz/lease-eras.ts
@@ -53,7 +53,7 @@
 const DOMAIN = 'd' as DomainId;
 const CANDIDATES = 5;
 const STEP_MS = 20;
-const SETTINGS = { ttlMs: 2_000, marginMs: 200, renewMs: 600, backupDelayMs: 300 };
+const SETTINGS = { ttlMs: 2_000, marginMs: 200, renewMs: 600, rankDelayMs: 300 };
 /** Copies are up to so old. */
 const OLDEST_COPY_MS = 6_000;
 const AWAY_MS = 800;
--- a/tests/fuzz/ledger-world.ts
+++ b/tests/fuzz/ledger-world.ts
@@ -16,7 +16,7 @@
   | { readonly kind: 'read' }
   | { readonly kind: 'wait' };
 
-export type Told = 'done' | 'not-run' | 'unknown' | 'replayed' | 'in-progress' | 'key-reused';
+export type CallerOutcome = 'done' | 'not-run' | 'unknown' | 'replayed' | 'in-progress' | 'key-reused';
 
 export interface Submission {
   readonly id: string;
@@ -26,7 +26,7 @@
   state: ClaimState;
   pending: Op | undefined;
   /** What its caller was told; once. */
-  told: Told | undefined;
+  told: CallerOutcome | undefined;
   replayed: string | undefined;
   /** Events that wait while the daemon is frozen. */
   readonly inbox: ClaimEvent[];
@@ -75,7 +75,7 @@
   return { status: 200, headers: {}, body: { kind: 'row' as const, base64: answerOf(id) } };
 }
 
-function tell(sub: Submission, told: Told): void {
+function tell(sub: Submission, told: CallerOutcome): void {
   if (sub.told !== undefined) throw new Error(`${sub.id} was told ${sub.told}, then ${told}`);
   sub.told = told;
 }
@@ -193,7 +193,7 @@
 export type SendFault = 'none' | 'lost-answer' | 'late' | 'refused';
 
 /** Sends the request, if the claim lets it. */
-export function sendOut(world: World, sub: Submission, fault: SendFault): void {
+export function send(world: World, sub: Submission, fault: SendFault): void {
   const isStopped = world.frozen.has(sub.daemon) || world.dead.has(sub.daemon);
   if (isStopped || sub.told !== undefined) return;
   const effects = dispatch(world, sub, { kind: 'send' });
@@ -238,7 +238,7 @@
   }
 }
 
-export function landLate(world: World): void {
+export function applyLate(world: World): void {
   const write = world.lateWrites.shift();
   if (write !== undefined) apply(world, write.key, write.op);
   const run = world.lateRuns.shift();
--- a/tests/fuzz/ledger.ts
+++ b/tests/fuzz/ledger.ts
@@ -9,9 +9,9 @@
   createWorld,
   giveUp,
   kill,
-  landLate,
+  applyLate,
   resume,
-  sendOut,
+  send,
   submit,
   sweep,
 } from './ledger-world';
@@ -64,7 +64,7 @@
 
 function settle(world: World): void {
   for (const daemon of world.frozen) resume(world, daemon);
-  while (world.lateWrites.length + world.lateRuns.length > 0) landLate(world);
+  while (world.lateWrites.length + world.lateRuns.length > 0) applyLate(world);
   for (let round = 0; round < 40; round += 1) {
     for (const sub of world.submissions) answer(world, sub, 'none');
   }
@@ -136,7 +136,7 @@
     const fits = ({ state, told }: Submission): boolean =>
       told === undefined && (state.phase === 'held' || state.phase === 'sent');
     onSome(world, at, fits, (sub) => {
-      sendOut(world, sub, fault);
+      send(world, sub, fault);
     });
   }),
 );
@@ -174,7 +174,7 @@
   }),
 );
 
-const landing = fc.constant(command('landLate', landLate));
+const landing = fc.constant(command('landLate', applyLate));
 const sweeping = fc.constant(command('sweep', sweep));
 
 /** Those that stand more than once come up more often. */
--- a/tests/fuzz/limits-world.ts
+++ b/tests/fuzz/limits-world.ts
@@ -4,8 +4,8 @@
  */
 
 import { createRandom } from '../../src/adapters/runtime';
-import { createLimits } from '../../src/app/gateway/limits';
-import type { Limits } from '../../src/app/gateway/limits';
+import { createRateLimits } from '../../src/app/gateway/limits';
+import type { RateLimits } from '../../src/app/gateway/limits';
 import { listSilent } from '../../src/core/gateway/limits/share';
 import { brandAs } from '../../src/core/ids';
 import type { DaemonId, EpochTime, MonoTime } from '../../src/core/ids';
@@ -46,7 +46,7 @@
 
 interface Daemon {
   readonly id: DaemonId;
-  limits: Limits;
+  limits: RateLimits;
   /** Requests a second that it could send to the server. */
   readonly demand: number;
   trouble: Trouble;
@@ -145,8 +145,8 @@
     return listSilent(ids, new Set([daemon.id, ...heard]));
   };
 
-  const makeDaemonLimits = (id: DaemonId, daemon: () => Daemon): Limits =>
-    createLimits(
+  const makeDaemonLimits = (id: DaemonId, daemon: () => Daemon): RateLimits =>
+    createRateLimits(
       makeContext({
         settings: { id },
         clock: { now: () => brandAs<MonoTime>(now), epoch: () => brandAs<EpochTime>(now) },
@@ -158,12 +158,12 @@
           const silent = new Set(silentAt(daemon()));
           return ids.filter((one) => !silent.has(one));
         },
-        isGone: () => false,
-        tell: (others, told) => {
+        isRemoved: () => false,
+        publish: (others, told) => {
           for (const peer of daemons) {
             if (!others.includes(peer.id)) continue;
             receive(daemon(), peer, () => {
-              peer.limits.takeTold(told, id);
+              peer.limits.applyReport(told, id);
             });
           }
         },
@@ -203,8 +203,8 @@
 
   const send = (daemon: Daemon): void => {
     const { limits } = daemon;
-    if (limits.turns(SERVER) < 1) return;
-    limits.take(SERVER);
+    if (limits.tokens(SERVER) < 1) return;
+    limits.takeToken(SERVER);
     const sentAt = brandAs<MonoTime>(now);
     after(draw(1, 20), () => {
       const isTold = daemon.toldAt !== undefined && now >= daemon.toldAt + TOLD_AFTER_MS;
@@ -229,13 +229,13 @@
   };
 
   const tellPeers = (daemon: Daemon): void => {
-    const told = daemon.limits.told();
+    const told = daemon.limits.report();
     const targets = isLarge ? daemons.filter((_, n) => n === leader) : daemons;
     for (const peer of targets) {
       if (peer === daemon) continue;
       receive(daemon, peer, () => {
         peer.heardAt.set(daemon.id, now);
-        peer.limits.takeTold(told, daemon.id);
+        peer.limits.applyReport(told, daemon.id);
       });
     }
   };
@@ -244,13 +244,13 @@
     const isWanted = daemons.some(
       (peer) => peer.trouble === 'none' && peer.leaderSilent === undefined,
     );
-    const told = daemon.limits.toldToAll(isWanted);
+    const told = daemon.limits.reportToAll(isWanted);
     const silent = silentAt(daemon);
     for (const peer of daemons) {
       if (peer === daemon) continue;
       receive(daemon, peer, () => {
         peer.leaderSilent = { at: now, silent };
-        peer.limits.takeTold(told, daemon.id);
+        peer.limits.applyReport(told, daemon.id);
       });
     }
   };
--- a/tests/fuzz/routing.ts
+++ b/tests/fuzz/routing.ts
@@ -55,7 +55,7 @@
   for (const [id, group] of state.groups) {
     const own = [...oracle.sent.values()].filter((sentTo) => sentTo === id).length;
     check(group.load.inFlight === own, `in flight on ${id}: ${group.load.inFlight} for ${own}`);
-    check(group.load.others >= 0, 'others hold less than nothing');
+    check(group.load.peerLoad >= 0, 'others hold less than nothing');
     check(group.waiting.size <= own, 'more attempts wait than are in flight');
   }
   check(state.attempts.size === oracle.sent.size, 'attempts that are over are still held');
--- a/tests/gateway/config-view.test.ts
+++ b/tests/gateway/config-view.test.ts
@@ -2,7 +2,7 @@
 import { describe, expect, it, vi } from 'vitest';
 
 import { createConfigView } from '../../src/app/gateway/config-view';
-import type { Progress } from '../../src/app/gateway/messages';
+import type { PeerProgress } from '../../src/app/gateway/messages';
 import { brandAs } from '../../src/core/ids';
 import type { ConfigVersion } from '../../src/core/ids';
 import type { GatewayConfig } from '../../src/core/gateway/types';
@@ -49,7 +49,7 @@
   const SETTLE_MS = 3_000;
 
   /** Polls sent in the time watched, of a store that is never heard of again after the first answer. */
-  const countPolls = async (progress: Partial<Progress> | undefined): Promise<number> => {
+  const countPolls = async (progress: Partial<PeerProgress> | undefined): Promise<number> => {
     const clock = createFakeClock();
     const ctx = makeContext({
       tunables: { configMs: CONFIG_MS, settleMs: SETTLE_MS },
--- a/tests/gateway/fleet-model.ts
+++ b/tests/gateway/fleet-model.ts
@@ -9,15 +9,15 @@
 import { createRandom } from '../../src/adapters/runtime';
 import { createArrivals } from '../../src/app/gateway/arrivals';
 import type { Arrivals } from '../../src/app/gateway/arrivals';
-import { createBoard } from '../../src/app/gateway/board';
-import type { Board } from '../../src/app/gateway/board';
-import type { BoardGroup } from '../../src/app/gateway/directory';
+import { createGroupRegistry } from '../../src/app/gateway/board';
+import type { GroupRegistry } from '../../src/app/gateway/board';
+import type { ServingGroup } from '../../src/app/gateway/directory';
 import { sumLoads, withoutOwn } from '../../src/app/gateway/loads';
 import type { PeerState } from '../../src/app/gateway/messages';
-import { takePlace } from '../../src/app/gateway/placing';
-import type { Roster } from '../../src/app/gateway/roster';
-import { createWaitingRoom } from '../../src/app/gateway/waiting';
-import type { WaitingRoom } from '../../src/app/gateway/waiting';
+import { takeSlot } from '../../src/app/gateway/placing';
+import type { ServerRegistry } from '../../src/app/gateway/roster';
+import { createWaitQueue } from '../../src/app/gateway/waiting';
+import type { WaitQueue } from '../../src/app/gateway/waiting';
 import { noteFirstEvent, slackMs as slackOf } from '../../src/core/gateway/first-event';
 import type { FirstEvents } from '../../src/core/gateway/first-event';
 import { usualPauseMs } from '../../src/core/gateway/progress';
@@ -31,7 +31,7 @@
   inGroup,
   instance,
   makeContext,
-  makeAllowances,
+  makeThrottle,
   makeServer,
   makeState,
 } from './support';
@@ -42,7 +42,7 @@
 const REPORT_MS = 200;
 /** From a statement to those that hear of the sum of all. */
 const ON_ITS_WAY_MS = 100;
-const LOAD_FACTS = { isWhole: true, isUnled: false, ageMs: 2 * REPORT_MS };
+const LOAD_FACTS = { coversMost: true, isLeaderless: false, ageMs: 2 * REPORT_MS };
 const TARGET_MS = 300;
 /** Callers leave a stream without an event after this. */
 const PATIENCE_MS = 2_000;
@@ -72,10 +72,10 @@
 }
 
 interface ModelDaemon {
-  readonly board: Board;
-  readonly waiting: WaitingRoom;
+  readonly board: GroupRegistry;
+  readonly waiting: WaitQueue;
   readonly arrivals: Arrivals;
-  readonly place: (request: ModelRequest) => BoardGroup | undefined;
+  readonly place: (request: ModelRequest) => ServingGroup | undefined;
   told: PeerState | undefined;
 }
 
@@ -138,7 +138,7 @@
   };
   const servers = new Map<InstanceId, BackendServer>();
   const changes = new Subject<void>();
-  const roster = { servers, changes } as unknown as Roster;
+  const roster = { servers, changes } as unknown as ServerRegistry;
   let groups: ModelGroup[] = [];
   const requests: ModelRequest[] = [];
   let formed = 0;
@@ -155,15 +155,15 @@
     const settings = { zone: brandAs<ZoneId>('a') };
     const ctx = makeContext({ clock, settings, seed: seed * 1_000 + n });
     const table = new BehaviorSubject<RouteTable | undefined>(TABLE);
-    const board = createBoard(ctx, roster, table, makeAllowances(ctx));
-    const waiting = createWaitingRoom(ctx, board);
+    const board = createGroupRegistry(ctx, roster, table, makeThrottle(ctx));
+    const waiting = createWaitQueue(ctx, board);
     const arrivals = createArrivals(ctx);
     const daemon: ModelDaemon = {
       board,
       waiting,
       arrivals,
       place: ({ tried, arrivedAt }) =>
-        takePlace(
+        takeSlot(
           { ctx, board, waiting, arrivals, daemons: () => size },
           {
             ...{ service: SERVICE, model: SMALL, promptTokens: PROMPT_TOKENS },
@@ -201,7 +201,7 @@
     }
   };
 
-  const send = (request: ModelRequest, { head }: BoardGroup): void => {
+  const send = (request: ModelRequest, { head }: ServingGroup): void => {
     request.attempts += 1;
     request.tried.add(head.id);
     const group = groups.find((one) => one.head.id === head.id);
@@ -263,7 +263,7 @@
     }
     if (now() < stream.nextEventAt) return true;
     if (stream.events === 0) {
-      board.noteRead(group.head.id, PROMPT_TOKENS);
+      board.notePrefilled(group.head.id, PROMPT_TOKENS);
       firstEvents = noteFirstEvent(firstEvents, now() - stream.sentAt);
       request.firstEventAt ??= now();
     }
@@ -307,7 +307,7 @@
     toldAt = now() + REPORT_MS;
     if (!isLed) {
       for (const { board } of daemons) {
-        board.takeLoads(sumLoads([]), { ...LOAD_FACTS, isWhole: false, isUnled: true });
+        board.applyLoads(sumLoads([]), { ...LOAD_FACTS, coversMost: false, isLeaderless: true });
       }
       return;
     }
@@ -316,7 +316,7 @@
     setTimeout(() => {
       daemons.forEach((daemon, n) => {
         const own = states[n];
-        daemon.board.takeLoads(own ? withoutOwn(sums, own) : sums, LOAD_FACTS);
+        daemon.board.applyLoads(own ? withoutOwn(sums, own) : sums, LOAD_FACTS);
       });
     }, ON_ITS_WAY_MS);
   };
--- a/tests/gateway/gateway-fixture.ts
+++ b/tests/gateway/gateway-fixture.ts
@@ -21,7 +21,7 @@
 const LOOK_MS = 50;
 
 /** A request with its answer, where there was one. */
-export interface Asked {
+export interface SentRequest {
   readonly requestId: string;
   readonly daemon: number;
   readonly sentAt: number;
@@ -34,7 +34,7 @@
   /** Heads of the groups that serve the model now. */
   heads(model: string): readonly ServerName[];
   /** Sends `perS` requests a second to each daemon, one after the other over all of them, for `ms`. */
-  ask(path: string, perS: number, ms: number): Promise<readonly Asked[]>;
+  sendRequests(path: string, perS: number, ms: number): Promise<readonly SentRequest[]>;
   close(): void;
 }
 
@@ -81,7 +81,7 @@
   await until(() => platform.fleet.serving(SMALL) === 2 && platform.fleet.serving(LARGE) === 2);
 
   let lastId = 0;
-  const askOnce = async (path: string, daemon: number): Promise<Asked> => {
+  const askOnce = async (path: string, daemon: number): Promise<SentRequest> => {
     const requestId = `request-${lastId++}`;
     const sentAt = performance.now();
     const options = { requestId, key: KEY, model: SMALL, body: 'events=3', waitMs: 3_000 };
@@ -97,9 +97,9 @@
           ? [name]
           : [],
       ),
-    ask: async (path, perS, ms) => {
+    sendRequests: async (path, perS, ms) => {
       const startedAt = performance.now();
-      const all: Promise<Asked>[] = [];
+      const all: Promise<SentRequest>[] = [];
       for (let n = 0; n < (perS * daemons * ms) / 1_000; n++) {
         await pause(startedAt + (n * 1_000) / (perS * daemons) - performance.now());
         all.push(askOnce(path, n % daemons));
--- a/tests/gateway/board.test.ts
+++ b/tests/gateway/group-registry.test.ts
@@ -2,8 +2,8 @@
 import { describe, expect, it } from 'vitest';
 
 import { createClock } from '../../src/adapters/runtime';
-import { createBoard } from '../../src/app/gateway/board';
-import type { Roster } from '../../src/app/gateway/roster';
+import { createGroupRegistry } from '../../src/app/gateway/board';
+import type { ServerRegistry } from '../../src/app/gateway/roster';
 import type { RouteTable } from '../../src/core/gateway/routes';
 import { brandAs, later } from '../../src/core/ids';
 import type { Epoch, GroupId, InstanceId } from '../../src/core/ids';
@@ -11,7 +11,7 @@
   ENGINE,
   instance,
   makeContext,
-  makeAllowances,
+  makeThrottle,
   makeServer,
   SERVICE,
   SMALL,
@@ -40,7 +40,7 @@
   tried: new Set<InstanceId>(),
 };
 /** Loads of all, just told. */
-const HEARD = { isWhole: true, isUnled: false, ageMs: 200 };
+const HEARD = { coversMost: true, isLeaderless: false, ageMs: 200 };
 
 /** A board with the servers of one open group in the roster, and a clock of its own. */
 function setUp() {
@@ -50,8 +50,8 @@
   const servers = new Map(openGroup().map((server) => [server.id, server]));
   const routes = new BehaviorSubject<RouteTable | undefined>(undefined);
   const ctx = makeContext({ clock: { ...clock, now: () => now } });
-  const roster = { servers, changes } as unknown as Roster;
-  const board = createBoard(ctx, roster, routes, makeAllowances(ctx));
+  const roster = { servers, changes } as unknown as ServerRegistry;
+  const board = createGroupRegistry(ctx, roster, routes, makeThrottle(ctx));
   const heads = () => board.candidates(NEEDS).map(({ head }) => head);
   /** The process runs, and looks about it as often as it should. */
   const run = (ms: number): void => {
@@ -74,7 +74,7 @@
   const parts = setUp();
   parts.routes.next(TABLE);
   parts.changes.next();
-  parts.board.takeLoads({ running: [], paces: [], waiting: [] }, HEARD);
+  parts.board.applyLoads({ running: [], paces: [], waiting: [] }, HEARD);
   parts.run(100);
   return parts;
 }
@@ -98,7 +98,7 @@
   it('is seen to stand still once they were for longer than any pause', () => {
     const { board, run, stalls } = setUpServing();
     board.noteSent(HEAD, 100);
-    board.noteRead(HEAD, 100);
+    board.notePrefilled(HEAD, 100);
     board.noteEvent(HEAD, undefined);
     run(450);
     expect(stalls).toEqual([]);
@@ -109,7 +109,7 @@
   it('is not where this process did not run: events that came meanwhile are not read yet', () => {
     const { board, run, stand, stalls } = setUpServing();
     board.noteSent(HEAD, 100);
-    board.noteRead(HEAD, 100);
+    board.notePrefilled(HEAD, 100);
     board.noteEvent(HEAD, undefined);
     stand(800);
     run(50);
@@ -135,16 +135,16 @@
   it('is known as such by what other daemons saw, and no longer than they see it', () => {
     const { board } = setUpServing();
     const pace = () => board.candidates(NEEDS)[0]?.slowdown;
-    board.takeLoads({ running: [], paces: [[HEAD, 3.5]], waiting: [] }, HEARD);
+    board.applyLoads({ running: [], paces: [[HEAD, 3.5]], waiting: [] }, HEARD);
     expect(pace()).toBe(3.5);
-    board.takeLoads({ running: [], paces: [], waiting: [] }, HEARD);
+    board.applyLoads({ running: [], paces: [], waiting: [] }, HEARD);
     expect(pace()).toBe(1);
   });
 
   it('is told of by a daemon that saw its events', () => {
     const { board, run } = setUpServing();
     board.noteSent(HEAD, 100);
-    board.noteRead(HEAD, 100);
+    board.notePrefilled(HEAD, 100);
     board.noteEvent(HEAD, undefined);
     for (let n = 0; n < 20; n++) {
       run(200);
