--- a/tests/gateway/large-fleet.test.ts
+++ b/tests/gateway/large-fleet.test.ts
@@ -2,7 +2,7 @@
 import { describe, expect, it } from 'vitest';
 
 import { createClock } from '../../src/adapters/runtime';
-import type { FromPeer, PeerView } from '../../src/app/gateway/peer-view';
+import type { ReceivedMessage, PeerView } from '../../src/app/gateway/peer-view';
 import { createGossip } from '../../src/app/gateway/gossip';
 import type { GossipDeps } from '../../src/app/gateway/gossip';
 import type { GatewayMessage, PlainMessage } from '../../src/app/gateway/messages';
@@ -24,7 +24,7 @@
     seed,
   });
   const sent: { readonly to: string; readonly message: GatewayMessage }[] = [];
-  const received = new Subject<FromPeer>();
+  const received = new Subject<ReceivedMessage>();
   const stalls = new Subject<typeof STALL>();
   const note = (to: string) => (message: GatewayMessage) => sent.push({ to, message });
   const live: PeerView[] = isLeading
@@ -53,16 +53,16 @@
       running: () => [],
       paces: () => [],
       quiet: () => [],
-      eventAt: () => undefined,
-      knowsOthers: () => true,
+      lastEventAt: () => undefined,
+      hasPeerLoads: () => true,
       work: () => [],
-      takeLoads: () => undefined,
+      applyLoads: () => undefined,
       stalls,
       find: () => ({ id: 'g' }),
       suspect: () => true,
       unreachable: new Subject(),
-      abandon: () => undefined,
-      runningElsewhere: () => running,
+      evacuate: () => undefined,
+      runningOnPeers: () => running,
     },
     fleet: {
       received,
@@ -74,21 +74,21 @@
       send: (to: string, message: GatewayMessage) => note(to)(message),
       answer: (_: unknown, message: GatewayMessage) => note(LEADER)(message),
       broadcast: note('all'),
-      spread: note('all'),
+      broadcastAsLeader: note('all'),
       tick: () => undefined,
       silent: () => [],
       sendToLikelyLeaders: note('likely leaders'),
     },
-    former: { noteTraffic: () => undefined, inspect: () => undefined, lost: new Subject() },
+    planner: { noteTraffic: () => undefined, inspect: () => undefined, lost: new Subject() },
     leadership: {
       ownLease: () => (isLeading ? LEASE : undefined),
-      held: () => (isLeading ? 1 : undefined),
-      takeLease: () => undefined,
+      heldFencing: () => (isLeading ? 1 : undefined),
+      notePeerLease: () => undefined,
     },
     waiting: { waiting: () => [], count: () => 0 },
     arrivals: { rates: () => [], rate: () => 0 },
-    limits: { told: () => [], toldToAll: () => [], takeTold: () => undefined },
-    leaving: { told: () => [], takeTold: () => undefined },
+    limits: { report: () => [], reportToAll: () => [], applyReport: () => undefined },
+    leaving: { report: () => [], applyReport: () => undefined },
     isStopping: () => false,
   };
   const gossip = createGossip(deps as unknown as GossipDeps);
--- a/tests/gateway/leadership.test.ts
+++ b/tests/gateway/leadership.test.ts
@@ -66,7 +66,7 @@
   it('speaks for the fleet while its lease holds', async () => {
     const { leadership, run } = setUp();
     await run(5_000);
-    expect(leadership.held()).toBe(1);
+    expect(leadership.heldFencing()).toBe(1);
     expect(leadership.ownLease()?.row.holder).toBe(OWN);
   });
 
@@ -75,7 +75,7 @@
     await run(5_000);
     turnAway();
     await run(3_000);
-    expect(leadership.held()).toBeUndefined();
+    expect(leadership.heldFencing()).toBeUndefined();
     expect(leadership.ownLease()).toBeUndefined();
   });
 
@@ -83,15 +83,15 @@
     const { leadership, run, turnAway } = setUp();
     await run(5_000);
     turnAway();
-    leadership.takeLease(successorOf(1));
-    expect(leadership.held()).toBeUndefined();
+    leadership.notePeerLease(successorOf(1));
+    expect(leadership.heldFencing()).toBeUndefined();
     expect(leadership.ownLease()).toBeUndefined();
   });
 
   it('does not give way to an earlier lease that is told late', async () => {
     const { leadership, run } = setUp();
     await run(5_000);
-    leadership.takeLease(successorOf(0));
-    expect(leadership.held()).toBe(1);
+    leadership.notePeerLease(successorOf(0));
+    expect(leadership.heldFencing()).toBe(1);
   });
 });
--- a/tests/gateway/lease-return.test.ts
+++ b/tests/gateway/lease-return.test.ts
@@ -77,25 +77,25 @@
   it('changes nothing of the lease of the new era', async () => {
     const { owner, run, deliver } = await withWriteOfLostEra();
     await run(3_000, deliver);
-    const fencing = owner.leadership.held();
+    const fencing = owner.leadership.heldFencing();
     expect(fencing).toBeDefined();
     await run(5_000, () => {
       deliver();
-      expect(owner.leadership.held()).toBe(fencing);
+      expect(owner.leadership.heldFencing()).toBe(fencing);
     });
   });
 
   it('leads to no fencing number that is given out twice', async () => {
     const { owner, run, deliver, add, kill } = await withWriteOfLostEra();
     await run(3_000);
-    const fencing = owner.leadership.held();
+    const fencing = owner.leadership.heldFencing();
     await run(5_000, () => {
       deliver();
-      if (owner.leadership.held() === undefined) kill(owner);
+      if (owner.leadership.heldFencing() === undefined) kill(owner);
     });
     kill(owner);
     const next = add('c');
     await run(6_000);
-    expect(next.leadership.held()).toBeGreaterThan(fencing ?? Infinity);
+    expect(next.leadership.heldFencing()).toBeGreaterThan(fencing ?? Infinity);
   });
 });
--- a/tests/gateway/leaving-server.test.ts
+++ b/tests/gateway/leaving-server.test.ts
@@ -36,7 +36,7 @@
     const { says, arrivals } = fixture.platform.statements;
     for (const server of servers) says.set(server, { [HEADERS.leaving]: '1' });
     const from = performance.now();
-    const asked = await fixture.ask(path, 10, 4_000);
+    const asked = await fixture.sendRequests(path, 10, 4_000);
     const late = arrivals.filter(
       ({ server, at }) => servers.includes(server) && at > from + KNOWN_MS,
     );
--- a/tests/gateway/leaving.test.ts
+++ b/tests/gateway/leaving.test.ts
@@ -3,8 +3,8 @@
 
 import { dialect } from '../../platform/ingress';
 import { HEADERS } from '../../platform/names';
-import { createLeaving } from '../../src/app/gateway/leaving';
-import { createRoster } from '../../src/app/gateway/roster';
+import { createLeavingServers } from '../../src/app/gateway/leaving';
+import { createServerRegistry } from '../../src/app/gateway/roster';
 import type { BackendServer } from '../../src/core/gateway/types';
 import type { Feed } from '../../src/ports/gateway';
 import { pause } from '../../src/utils/pause';
@@ -28,11 +28,11 @@
         position: position((revision += 1)),
       })),
   };
-  const roster = createRoster(ctx, { feed, isLeading: () => true, leader: () => undefined });
+  const roster = createServerRegistry(ctx, { feed, isLeading: () => true, leader: () => undefined });
   await pause(LOADED_MS);
   let changed = 0;
   roster.changes.subscribe(() => (changed += 1));
-  return { roster, leaving: createLeaving(ctx, roster), changes: () => changed };
+  return { roster, leaving: createLeavingServers(ctx, roster), changes: () => changed };
 }
 
 describe('a server that says in an answer that it leaves', () => {
@@ -51,11 +51,11 @@
     const [here, peer] = await Promise.all([setUp(), setUp()]);
     here.leaving.note(SERVER);
     here.leaving.note(SERVER);
-    expect(here.leaving.told()).toEqual([SERVER]);
-    peer.leaving.takeTold(here.leaving.told(), 'peer');
+    expect(here.leaving.report()).toEqual([SERVER]);
+    peer.leaving.applyReport(here.leaving.report(), 'peer');
     expect(peer.roster.servers.get(SERVER)?.isDraining).toBe(true);
-    expect(peer.leaving.told()).toEqual([]);
-    expect(peer.leaving.told({ ofAll: true })).toEqual([SERVER]);
+    expect(peer.leaving.report()).toEqual([]);
+    expect(peer.leaving.report({ ofAll: true })).toEqual([SERVER]);
     for (const { roster } of [here, peer]) roster.watch.stop();
   });
 
--- a/tests/gateway/limits.test.ts
+++ b/tests/gateway/rate-limits.test.ts
@@ -2,7 +2,7 @@
 
 import { dialect } from '../../platform/ingress';
 import { HEADERS } from '../../platform/names';
-import { createLimits } from '../../src/app/gateway/limits';
+import { createRateLimits } from '../../src/app/gateway/limits';
 import { forget, noteAnswer, takeTold, tell } from '../../src/core/gateway/limits/known';
 import type { KnownLimits, Told } from '../../src/core/gateway/limits/known';
 import { countSenders, listSilent, sendersOf, shareOf } from '../../src/core/gateway/limits/share';
@@ -110,23 +110,23 @@
     let ms = 0;
     const clock = { now: () => at(ms), epoch: () => brandAs<EpochTime>(ms) };
     const ctx = makeContext({ clock, settings: { id: brandAs<DaemonId>('d0') } });
-    const limits = createLimits(ctx, { daemons, isGone: () => false, tell: () => undefined });
+    const limits = createRateLimits(ctx, { daemons, isRemoved: () => false, publish: () => undefined });
     return { limits, wait: (more: number) => (ms += more) };
   }
 
   it('are unlimited until a server names a limit, and again once it names none', () => {
     const { limits, wait } = setUp();
-    expect(limits.turns(SERVER)).toBe(Infinity);
+    expect(limits.tokens(SERVER)).toBe(Infinity);
     limits.noteAnswer(SERVER, { perSecond: 2, sentAt: at(0) });
-    expect(limits.turns(SERVER)).toBe(0);
-    expect(limits.turnInMs(SERVER)).toBe(500);
+    expect(limits.tokens(SERVER)).toBe(0);
+    expect(limits.msUntilToken(SERVER)).toBe(500);
     wait(500);
-    expect(limits.turns(SERVER)).toBe(1);
-    limits.take(SERVER);
-    expect(limits.turns(SERVER)).toBe(0);
+    expect(limits.tokens(SERVER)).toBe(1);
+    limits.takeToken(SERVER);
+    expect(limits.tokens(SERVER)).toBe(0);
     wait(1_000);
     limits.noteAnswer(SERVER, { sentAt: at(1_200) });
-    expect(limits.turns(SERVER)).toBe(Infinity);
+    expect(limits.tokens(SERVER)).toBe(Infinity);
   });
 
   it('wake requests that wait for one, once each', () => {
@@ -149,9 +149,9 @@
     limits.tick();
     wait(60_000);
     limits.tick();
-    expect(limits.turns(SERVER)).toBe(0);
-    expect(limits.turnInMs(SERVER)).toBe(Infinity);
-    expect(limits.takesInMs(SERVER)).toBe(500);
+    expect(limits.tokens(SERVER)).toBe(0);
+    expect(limits.msUntilToken(SERVER)).toBe(Infinity);
+    expect(limits.msUntilAccepted(SERVER)).toBe(500);
   });
 });
 
@@ -162,10 +162,10 @@
     const all = daemonIds(200);
     const ctx = makeContext({ clock, settings: { id: brandAs<DaemonId>('d0') } });
     const sent: [readonly DaemonId[], readonly Told[]][] = [];
-    const limits = createLimits(ctx, {
+    const limits = createRateLimits(ctx, {
       daemons: () => all,
-      isGone: () => false,
-      tell: (daemons, told) => sent.push([daemons, told]),
+      isRemoved: () => false,
+      publish: (daemons, told) => sent.push([daemons, told]),
     });
     limits.noteAnswer(SERVER, { perSecond: 8, sentAt: at(50) });
     limits.noteAnswer(SERVER, { perSecond: 8, sentAt: at(60) });
--- a/tests/gateway/relaying.test.ts
+++ b/tests/gateway/relaying.test.ts
@@ -37,7 +37,7 @@
     const daemon = daemons[n];
     if (!daemon?.isUp) return;
     if (message.kind === 'relayed') {
-      const { from, address, message: inner } = daemon.relaying.passOn(message, via);
+      const { from, address, message: inner } = daemon.relaying.forward(message, via);
       if (inner.kind === 'loads') {
         daemon.leader = { id: from, address, via, at: now, progress: inner };
       }
@@ -73,7 +73,7 @@
       clock: { ...clock, now: () => now },
     });
     const send = sender(n);
-    const relaying = createRelaying(ctx, { tell: send, sendToAll: send });
+    const relaying = createRelaying(ctx, { sendExpectingReply: send, sendToAll: send });
     daemons.push({ relaying, isUp: true, leader: undefined, sends: 0 });
   }
 
@@ -81,7 +81,7 @@
 
   const speak = (daemon: Daemon, n: number): void => {
     if (n === LEADER) {
-      daemon.relaying.spread(LOADS, [...heard.values()], everybody);
+      daemon.relaying.broadcast(LOADS, [...heard.values()], everybody);
       return;
     }
     const { leader } = daemon;
--- a/tests/gateway/rest-of-server.test.ts
+++ b/tests/gateway/server-backoff-daemons.test.ts
@@ -3,7 +3,7 @@
 import { brandAs } from '../../src/core/ids';
 import type { ServerName } from '../../src/core/ids';
 import { startFixture } from './gateway-fixture';
-import type { Asked, GatewayFixture } from './gateway-fixture';
+import type { SentRequest, GatewayFixture } from './gateway-fixture';
 import { MOST_IN_REST, mostInRest } from '../support/server-rules';
 import { SMALL } from './support';
 
@@ -29,7 +29,7 @@
   return [0, 1, 2].map((n) => brandAs<ServerName>(`plain-${n}`));
 }
 
-function retryAfterOf(asked: Asked | undefined): number {
+function retryAfterOf(asked: SentRequest | undefined): number {
   return Number(asked?.reply?.headers['retry-after']);
 }
 
@@ -38,13 +38,13 @@
   servers: readonly ServerName[],
   path: string,
   perS: number,
-): Promise<readonly Asked[]> {
+): Promise<readonly SentRequest[]> {
   const { says, shedding } = fixture.platform.statements;
   for (const server of servers) {
     says.set(server, { 'Retry-After': String(REST_S) });
     shedding.add(server);
   }
-  const asked = await fixture.ask(path, perS, ASKING_MS);
+  const asked = await fixture.sendRequests(path, perS, ASKING_MS);
   for (const server of servers) {
     says.delete(server);
     shedding.delete(server);
@@ -53,7 +53,7 @@
 }
 
 /** By daemon: most requests that came to the server within the rest that an answer had asked for. */
-function mostInRests(server: ServerName, asked: readonly Asked[]): number[] {
+function mostInRests(server: ServerName, asked: readonly SentRequest[]): number[] {
   const daemonOf = new Map(asked.map(({ requestId, daemon }) => [requestId, daemon]));
   const arrivals = fixture.platform.statements.arrivals.filter((one) => one.server === server);
   return Array.from({ length: DAEMONS }, (_, daemon) => {
--- a/tests/gateway/rests.test.ts
+++ b/tests/gateway/server-backoff.test.ts
@@ -5,7 +5,7 @@
 import type { Rests } from '../../src/core/gateway/rests';
 import { brandAs } from '../../src/core/ids';
 import type { DaemonId, EpochTime } from '../../src/core/ids';
-import { at, instance, makeAllowances, makeContext } from './support';
+import { at, instance, makeThrottle, makeContext } from './support';
 
 const SERVER = instance('s1');
 const NONE: Rests = new Map();
@@ -29,16 +29,16 @@
     let ms = 0;
     const clock = { now: () => at(ms), epoch: () => brandAs<EpochTime>(ms) };
     const ctx = makeContext({ clock, settings: { id: brandAs<DaemonId>('d0') } });
-    const allowances = makeAllowances(ctx);
-    expect(allowances.turns(SERVER)).toBe(Infinity);
-    allowances.noteRest(SERVER, 2_000);
-    expect(allowances.turns(SERVER)).toBe(0);
-    expect(allowances.takesInMs(SERVER)).toBe(2_000);
+    const allowances = makeThrottle(ctx);
+    expect(allowances.tokens(SERVER)).toBe(Infinity);
+    allowances.noteBackoff(SERVER, 2_000);
+    expect(allowances.tokens(SERVER)).toBe(0);
+    expect(allowances.msUntilAccepted(SERVER)).toBe(2_000);
     expect(allowances.tick()).toBe(false);
     ms = 2_000;
-    expect(allowances.isResting(SERVER)).toBe(false);
+    expect(allowances.isBackingOff(SERVER)).toBe(false);
     expect(allowances.tick()).toBe(true);
-    expect(allowances.turns(SERVER)).toBe(Infinity);
+    expect(allowances.tokens(SERVER)).toBe(Infinity);
   });
 });
 
--- a/tests/gateway/statements.test.ts
+++ b/tests/gateway/server-notices.test.ts
@@ -6,13 +6,13 @@
 import { dialect } from '../../platform/ingress';
 import { HEADERS } from '../../platform/names';
 import { createServers } from '../../platform/servers';
-import { createAllowances } from '../../src/app/gateway/allowances';
-import type { Leaving } from '../../src/app/gateway/leaving';
-import { createStatements } from '../../src/app/gateway/statements';
+import { createThrottle } from '../../src/app/gateway/allowances';
+import type { LeavingServers } from '../../src/app/gateway/leaving';
+import { createServerNotices } from '../../src/app/gateway/statements';
 import { brandAs } from '../../src/core/ids';
 import type { DaemonId, EpochTime, GroupId, Epoch, InstanceId } from '../../src/core/ids';
 import type { ServerHead } from '../../src/ports/gateway';
-import { at, instance, makeContext, makeLimits, makeServer } from './support';
+import { at, instance, makeContext, makeRateLimits, makeServer } from './support';
 
 const SERVER = instance('s1');
 
@@ -20,11 +20,11 @@
   let ms = 0;
   const clock = { now: () => at(ms), epoch: () => brandAs<EpochTime>(ms) };
   const ctx = makeContext({ clock, settings: { id: brandAs<DaemonId>('d0') } });
-  const limits = makeLimits(ctx);
+  const limits = makeRateLimits(ctx);
   const left: InstanceId[] = [];
-  const leaving = { note: (server: InstanceId) => left.push(server) } as unknown as Leaving;
-  const allowances = createAllowances(ctx, limits);
-  const statements = createStatements(ctx, { dialect, limits, allowances, leaving });
+  const leaving = { note: (server: InstanceId) => left.push(server) } as unknown as LeavingServers;
+  const allowances = createThrottle(ctx, limits);
+  const statements = createServerNotices(ctx, { dialect, limits, throttle: allowances, leaving });
   const read = (statusCode: number, headers: Record<string, string>): void => {
     statements.read(SERVER, { statusCode, headers }, at(ms - 10));
   };
@@ -36,9 +36,9 @@
     const { read, limits, allowances, left, wait } = setUp();
     wait(100);
     read(500, { [HEADERS.limit]: '2' });
-    expect(limits.turns(SERVER)).toBe(0);
+    expect(limits.tokens(SERVER)).toBe(0);
     read(503, { 'retry-after': '3', [HEADERS.limit]: '2' });
-    expect(allowances.isResting(SERVER)).toBe(true);
+    expect(allowances.isBackingOff(SERVER)).toBe(true);
     read(200, { [HEADERS.leaving]: '1', [HEADERS.limit]: '2' });
     expect(left).toEqual([SERVER]);
   });
@@ -46,8 +46,8 @@
   it('is no word of the server that was meant, where another one answered', () => {
     const { read, limits, allowances, left } = setUp();
     read(421, { [HEADERS.limit]: '2', [HEADERS.leaving]: '1', 'retry-after': '3' });
-    expect(limits.turns(SERVER)).toBe(Infinity);
-    expect(allowances.isResting(SERVER)).toBe(false);
+    expect(limits.tokens(SERVER)).toBe(Infinity);
+    expect(allowances.isBackingOff(SERVER)).toBe(false);
     expect(left).toEqual([]);
   });
 
@@ -56,9 +56,9 @@
     read(200, { [HEADERS.limit]: '2' });
     wait(5_000);
     read(200, { [HEADERS.limit]: 'many' });
-    expect(limits.turns(SERVER)).not.toBe(Infinity);
+    expect(limits.tokens(SERVER)).not.toBe(Infinity);
     read(200, {});
-    expect(limits.turns(SERVER)).toBe(Infinity);
+    expect(limits.tokens(SERVER)).toBe(Infinity);
   });
 
   it('ends no limit by an answer to an order, which need not name it', () => {
@@ -67,11 +67,11 @@
       server: SERVER,
       facts: dialect.readAnswer(202, headers),
     });
-    statements.take(headOf({ [HEADERS.limit]: '2' }));
-    expect(limits.turns(SERVER)).toBe(0);
+    statements.apply(headOf({ [HEADERS.limit]: '2' }));
+    expect(limits.tokens(SERVER)).toBe(0);
     wait(5_000);
-    statements.take(headOf({}));
-    expect(limits.turns(SERVER)).not.toBe(Infinity);
+    statements.apply(headOf({}));
+    expect(limits.tokens(SERVER)).not.toBe(Infinity);
   });
 });
 
--- a/tests/gateway/limit-of-server.test.ts
+++ b/tests/gateway/server-rate-limit.test.ts
@@ -54,7 +54,7 @@
     const heads = fixture.heads(SMALL).slice(0, 1);
     says(heads, { [HEADERS.limit]: String(LIMIT_PER_S) });
     const from = performance.now();
-    const asked = await fixture.ask('/stream/x', 6, ASKING_MS);
+    const asked = await fixture.sendRequests('/stream/x', 6, ASKING_MS);
     says(heads, {});
     expect(countKept(heads, from)).toBeGreaterThan(leastUsed(1));
     // The other group has room for all.
@@ -66,7 +66,7 @@
     const servers = [0, 1, 2].map((n) => brandAs<ServerName>(`plain-${n}`));
     says(servers, { [HEADERS.limit]: String(LIMIT_PER_S) });
     const from = performance.now();
-    const asked = await fixture.ask('/unsafe/x', 6, ASKING_MS);
+    const asked = await fixture.sendRequests('/unsafe/x', 6, ASKING_MS);
     says(servers, {});
     expect(countKept(servers, from)).toBeGreaterThan(leastUsed(3));
     const ran = new Set(fixture.platform.runs.map(({ requestId }) => requestId));
--- a/tests/gateway/roster.test.ts
+++ b/tests/gateway/server-registry.test.ts
@@ -2,8 +2,8 @@
 import { describe, expect, it } from 'vitest';
 
 import type { Leader } from '../../src/app/gateway/peer-view';
-import type { Progress } from '../../src/app/gateway/messages';
-import { createRoster } from '../../src/app/gateway/roster';
+import type { PeerProgress } from '../../src/app/gateway/messages';
+import { createServerRegistry } from '../../src/app/gateway/roster';
 import { createStoreAccess } from '../../src/app/gateway/store-access';
 import type { BackendServer } from '../../src/core/gateway/types';
 import { brandAs } from '../../src/core/ids';
@@ -34,7 +34,7 @@
   };
 }
 
-function leaderWith(progress: Partial<Progress>): () => Pick<Leader, 'at' | 'progress'> {
+function leaderWith(progress: Partial<PeerProgress>): () => Pick<Leader, 'at' | 'progress'> {
   const whole = {
     ...{ configVersion: 1, serversAt: position(1), storeEra: FIRST_ERA },
     ...{ isStoreLost: false, storeAgeMs: 0 },
@@ -46,7 +46,7 @@
   const countLooks = async (leader: () => Pick<Leader, 'at' | 'progress'> | undefined) => {
     const askedAt: number[] = [];
     const feed = createBusyFeed(askedAt);
-    const roster = createRoster(ctx, { feed, isLeading: () => false, leader });
+    const roster = createServerRegistry(ctx, { feed, isLeading: () => false, leader });
     await new Promise((resolve) => setTimeout(resolve, LEAVING_MS * 8));
     roster.watch.stop();
     return askedAt.length;
@@ -85,7 +85,7 @@
       poll: () => ResultAsync.fromSafePromise(new Promise(() => undefined)),
     });
     const watches = [feedOf('first'), feedOf('second')].map((feed) =>
-      watchFeed(own, { feed, take: () => undefined }),
+      watchFeed(own, { feed, apply: () => undefined }),
     );
     await pause(1_200);
     expect(store.isAway()).toBe(true);
@@ -116,7 +116,7 @@
       return ResultAsync.fromSafePromise(new Promise<never>(() => undefined));
     };
     const feed: Feed<BackendServer> = { name: 'servers', load: next, poll: next };
-    const roster = createRoster(ctx, { feed, isLeading: () => true, leader: () => undefined });
+    const roster = createServerRegistry(ctx, { feed, isLeading: () => true, leader: () => undefined });
     await pause(250);
     roster.watch.stop();
     return roster;
--- a/tests/gateway/silent-store.ts
+++ b/tests/gateway/silent-store.ts
@@ -3,7 +3,7 @@
 import { errAsync, okAsync, ResultAsync } from 'neverthrow';
 
 import type { Changes, Feed } from '../../src/ports/gateway';
-import type { Position } from '../../src/core/store-era';
+import type { StorePosition } from '../../src/core/store-era';
 import { fail } from '../../src/utils/errors';
 import type { StepError } from '../../src/utils/errors';
 import { position } from './support';
@@ -86,7 +86,7 @@
     feed: <T>(name: string): Feed<T> => ({
       name,
       load: (signal?: AbortSignal) => call<T>(name, -1, 0, signal),
-      poll: ({ revision: after }: Position, waitMs: number, signal?: AbortSignal) =>
+      poll: ({ revision: after }: StorePosition, waitMs: number, signal?: AbortSignal) =>
         call<T>(name, after, waitMs, signal),
     }),
   };
--- a/tests/gateway/rooms.test.ts
+++ b/tests/gateway/slot-admission.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest';
 
 import { createPeerLoads } from '../../src/app/gateway/peer-loads';
-import { createRooms } from '../../src/app/gateway/rooms';
+import { createSlotAdmission } from '../../src/app/gateway/rooms';
 import type { GroupCandidate } from '../../src/core/gateway/balance';
 import { brandAs, later } from '../../src/core/ids';
 import type { EpochTime, ZoneId } from '../../src/core/ids';
@@ -12,7 +12,7 @@
   const clock = { now: () => now, epoch: () => brandAs<EpochTime>(0) };
   const ctx = makeContext({ clock });
   return {
-    rooms: createRooms(ctx),
+    rooms: createSlotAdmission(ctx),
     loads: createPeerLoads(ctx),
     pass: (ms: number): void => {
       now = later(now, ms);
@@ -46,10 +46,10 @@
     rooms.noteLoads(400);
     const admit = () => heads(rooms.admit(SMALL, GROUPS, { ...BURST, isLate: false }).groups);
     expect(admit()).toEqual(['1']);
-    expect(rooms.granted(instance('1'))).toBe(3);
+    expect(rooms.grantedSlots(instance('1'))).toBe(3);
     for (let n = 0; n < 3; n++) rooms.noteSent(instance('1'));
     expect(admit()).toEqual([]);
-    rooms.noteFree(instance('2'));
+    rooms.noteSlotFreed(instance('2'));
     expect(admit()).toEqual(['2']);
   });
 
@@ -60,10 +60,10 @@
     rooms.noteSent(instance('1'));
     pass(200);
     rooms.noteLoads(400);
-    expect(rooms.granted(instance('1'))).toBe(2);
+    expect(rooms.grantedSlots(instance('1'))).toBe(2);
     pass(200);
     rooms.noteLoads(400);
-    expect(rooms.granted(instance('1'))).toBe(0);
+    expect(rooms.grantedSlots(instance('1'))).toBe(0);
   });
 
   it('is none for late requests while others can be on time, and some of what these leave', () => {
@@ -93,25 +93,25 @@
 
   it('are those last summed by a leader, while there is none', () => {
     const { loads, pass } = setUp();
-    loads.take(sums(12), { isWhole: true, isUnled: false });
+    loads.apply(sums(12), { coversMost: true, isLeaderless: false });
     pass(8_000);
-    expect(loads.take(sums(1), { isWhole: false, isUnled: true })).toBe(false);
+    expect(loads.apply(sums(1), { coversMost: false, isLeaderless: true })).toBe(false);
     expect(loads.running(instance('1'))).toBe(12);
-    expect(loads.areKnown()).toBe(false);
+    expect(loads.areFresh()).toBe(false);
   });
 
   it('are those of the peers that are heard, where no leader summed them for long', () => {
     const { loads, pass } = setUp();
-    loads.take(sums(12), { isWhole: true, isUnled: false });
+    loads.apply(sums(12), { coversMost: true, isLeaderless: false });
     pass(15_000);
-    expect(loads.take(sums(1), { isWhole: false, isUnled: true })).toBe(true);
+    expect(loads.apply(sums(1), { coversMost: false, isLeaderless: true })).toBe(true);
     expect(loads.running(instance('1'))).toBe(1);
   });
 
   it('are what a leader tells, also of few daemons: the others are lost', () => {
     const { loads } = setUp();
-    loads.take(sums(12), { isWhole: true, isUnled: false });
-    loads.take(sums(2), { isWhole: false, isUnled: false });
+    loads.apply(sums(12), { coversMost: true, isLeaderless: false });
+    loads.apply(sums(2), { coversMost: false, isLeaderless: false });
     expect(loads.running(instance('1'))).toBe(2);
   });
 });
--- a/tests/gateway/store-return.test.ts
+++ b/tests/gateway/store-return.test.ts
@@ -2,8 +2,8 @@
 import { describe, expect, it, vi } from 'vitest';
 
 import { createConfigView } from '../../src/app/gateway/config-view';
-import { createRoster } from '../../src/app/gateway/roster';
-import type { Roster } from '../../src/app/gateway/roster';
+import { createServerRegistry } from '../../src/app/gateway/roster';
+import type { ServerRegistry } from '../../src/app/gateway/roster';
 import { createStoreAccess } from '../../src/app/gateway/store-access';
 import { watchFeed } from '../../src/app/gateway/watch';
 import { mixHashes } from '../../src/core/routing/hash';
@@ -105,7 +105,7 @@
     const known = new Map<string, number>();
     const watch = watchFeed(ctx, {
       feed: store.feed,
-      take: (changes) => {
+      apply: (changes) => {
         for (const { key, value } of changes) if (value !== undefined) known.set(key, value);
       },
     });
@@ -157,7 +157,7 @@
       };
       return {
         store,
-        watch: watchFeed(ctx, { feed: { ...store.feed, load }, take: () => undefined }),
+        watch: watchFeed(ctx, { feed: { ...store.feed, load }, apply: () => undefined }),
       };
     });
     for (const { store } of stores) store.put('a', 1);
@@ -185,7 +185,7 @@
       store: store.access,
       tunables: { leavingMs: 100 },
     });
-    const roster = createRoster(ctx, {
+    const roster = createServerRegistry(ctx, {
       feed: store.feed,
       isLeading: () => true,
       leader: () => undefined,
@@ -199,7 +199,7 @@
     };
     return { store, roster, run };
   };
-  const known = (roster: Roster): BackendServer | undefined => [...roster.servers.values()][0];
+  const known = (roster: ServerRegistry): BackendServer | undefined => [...roster.servers.values()][0];
 
   it('that were leaving are leaving still', async () => {
     const { store, roster, run } = follow();
@@ -239,7 +239,7 @@
     const copy = store.copy();
     store.remove(NAME);
     store.put('other', makeServer('s2'));
-    roster.takeNews({
+    roster.applyUpdates({
       since: position(1, FIRST),
       upTo: position(3, FIRST),
       changes: [{ key: NAME }],
--- a/tests/gateway/store-silence.test.ts
+++ b/tests/gateway/store-silence.test.ts
@@ -11,7 +11,7 @@
 import { describe, expect, it, vi } from 'vitest';
 
 import { createConfigView } from '../../src/app/gateway/config-view';
-import { createRoster } from '../../src/app/gateway/roster';
+import { createServerRegistry } from '../../src/app/gateway/roster';
 import { watchFeed } from '../../src/app/gateway/watch';
 import { brandAs, later } from '../../src/core/ids';
 import type { BackendServer, GatewayConfig } from '../../src/core/gateway/types';
@@ -43,7 +43,7 @@
     daemons: () => 1,
     leader: () => undefined,
   });
-  const roster = createRoster(ctx, {
+  const roster = createServerRegistry(ctx, {
     feed: store.feed<BackendServer>('s1'),
     isLeading: () => false,
     leader: () => undefined,
@@ -51,9 +51,9 @@
   const daemons = watchFeed(ctx, {
     feed: store.feed<string>('daemons'),
     waitMs: () => 15_000,
-    trustUntil: (now) => later(now, 15_000),
-    restUntil: (since) => later(since, 3_000),
-    take: () => undefined,
+    freshUntil: (now) => later(now, 15_000),
+    nextPollAt: (since) => later(since, 3_000),
+    apply: () => undefined,
   });
   const stop = (): void => {
     for (const watch of [config.watch, roster.watch, daemons]) watch.stop();
--- a/tests/gateway/support.ts
+++ b/tests/gateway/support.ts
@@ -5,12 +5,12 @@
 import { createClock, createRandom } from '../../src/adapters/runtime';
 import { createLogger } from '../../src/adapters/telemetry/logger';
 import { createMetrics } from '../../src/adapters/telemetry/metrics';
-import { createAllowances } from '../../src/app/gateway/allowances';
-import type { Allowances } from '../../src/app/gateway/allowances';
+import { createThrottle } from '../../src/app/gateway/allowances';
+import type { Throttle } from '../../src/app/gateway/allowances';
 import type { GatewayContext } from '../../src/app/gateway/context';
-import { createLimits } from '../../src/app/gateway/limits';
-import type { Limits } from '../../src/app/gateway/limits';
-import type { Loads, PeerState } from '../../src/app/gateway/messages';
+import { createRateLimits } from '../../src/app/gateway/limits';
+import type { RateLimits } from '../../src/app/gateway/limits';
+import type { LoadsMessage, PeerState } from '../../src/app/gateway/messages';
 import type { GatewaySettings, GatewayTunables } from '../../src/app/gateway/settings';
 import { createStoreAccess } from '../../src/app/gateway/store-access';
 import type { BackendServer, EngineSpec, GatewayConfig, Route } from '../../src/core/gateway/types';
@@ -31,7 +31,7 @@
 } from '../../src/core/ids';
 import type { MemberState } from '../../src/core/gateway/types';
 import { FIRST_ERA } from '../../src/core/store-era';
-import type { Position, StoreEra } from '../../src/core/store-era';
+import type { StorePosition, StoreEra } from '../../src/core/store-era';
 
 export const SERVICE = brandAs<ServiceId>('llm');
 export const LARGE = brandAs<ModelId>('large');
@@ -42,7 +42,7 @@
 }
 
 /** A point in the history of a store, of the first era where none is given. */
-export function position(revision: number, era: StoreEra = FIRST_ERA): Position {
+export function position(revision: number, era: StoreEra = FIRST_ERA): StorePosition {
   return { era, revision };
 }
 
@@ -166,7 +166,7 @@
 };
 
 /** What the leader of a large fleet tells all. */
-export function makeLoads(more: Partial<Loads> = {}): Loads {
+export function makeLoads(more: Partial<LoadsMessage> = {}): LoadsMessage {
   return {
     kind: 'loads',
     configVersion: 3,
@@ -188,14 +188,14 @@
 }
 
 /** Limits of a daemon that shares them with nobody. */
-export function makeLimits(ctx: GatewayContext): Limits {
+export function makeRateLimits(ctx: GatewayContext): RateLimits {
   const daemons = () => [ctx.settings.id];
-  return createLimits(ctx, { daemons, isGone: () => false, tell: () => undefined });
+  return createRateLimits(ctx, { daemons, isRemoved: () => false, publish: () => undefined });
 }
 
 /** Allowances of a daemon to which no server has said anything. */
-export function makeAllowances(ctx: GatewayContext): Allowances {
-  return createAllowances(ctx, makeLimits(ctx));
+export function makeThrottle(ctx: GatewayContext): Throttle {
+  return createThrottle(ctx, makeRateLimits(ctx));
 }
 
 /** What simulated fleets have in common. */
--- a/tests/groups-domain.test.ts
+++ b/tests/groups-domain.test.ts
@@ -12,7 +12,7 @@
 } from '../src/core/groups/domain-types';
 import { keyOf } from '../src/core/groups/rows';
 import { openSlots } from '../src/core/groups/slots';
-import type { EngineReport, InstanceFacts } from '../src/core/groups/types';
+import type { EngineReport, InstanceInfo } from '../src/core/groups/types';
 import type { MonoTime } from '../src/core/ids';
 
 const POLICIES: PolicyNames = {
@@ -28,9 +28,9 @@
   return { ...base, ...change } as ModelPlan;
 }
 
-function facts(id: string): InstanceFacts {
+function facts(id: string): InstanceInfo {
   const fixed = { domain: 'd', zone: 'z', accelerators: 1, leaving: false, checksFencing: true };
-  return { id, address: `${id}:1`, ...fixed } as InstanceFacts;
+  return { id, address: `${id}:1`, ...fixed } as InstanceInfo;
 }
 
 function reportOf(id: string, change: Partial<EngineReport> = {}): EngineReport {
@@ -48,7 +48,7 @@
     readonly plans: readonly ModelPlan[],
     settings: Partial<DomainSettings> = {},
   ) {
-    const all = { rereadMs: 1e9, ...settings };
+    const all = { rowRefreshMs: 1e9, ...settings };
     this.state = createDomain({ domain: 'd' as never, settings: all }, 0 as MonoTime);
     const lease = { fencing: 3, fenceVersion: 8, validUntil: 1e9 } as never;
     const models = Object.fromEntries(plans.map((one) => [one.id, one]));
--- a/tests/groups-watch.test.ts
+++ b/tests/groups-watch.test.ts
@@ -4,8 +4,8 @@
 import type { EngineReport, GroupRow } from '../src/core/groups/types';
 import {
   createWatch,
-  isUnsettled,
-  ownUntil,
+  isAwaitingProbe,
+  ownRoutableUntil,
   reduceWatch,
   routableUntil,
 } from '../src/core/groups/watch';
@@ -125,9 +125,9 @@
 describe('a group that no probe has settled', () => {
   it('may be waited for while nothing speaks against it', () => {
     const stale = after(100, probed('x', 0), probed('y', 50));
-    expect(isUnsettled(stale, 200 as MonoTime)).toBe(false);
-    expect(isUnsettled(stale, 3_100 as MonoTime)).toBe(true);
-    expect(isUnsettled(after(0), 100 as MonoTime)).toBe(true);
+    expect(isAwaitingProbe(stale, 200 as MonoTime)).toBe(false);
+    expect(isAwaitingProbe(stale, 3_100 as MonoTime)).toBe(true);
+    expect(isAwaitingProbe(after(0), 100 as MonoTime)).toBe(true);
   });
 
   it.each<[string, WatchEvent]>([
@@ -136,7 +136,7 @@
     ['a member is leaving', { kind: 'leaving', leaving: true }],
   ])('may not once %s', (_what, event) => {
     const state = after(100, probed('x', 0), probed('y', 50), event);
-    expect(isUnsettled(state, 3_100 as MonoTime)).toBe(false);
+    expect(isAwaitingProbe(state, 3_100 as MonoTime)).toBe(false);
   });
 });
 
@@ -144,7 +144,7 @@
   it('makes a group routable for as long as it says, but is never passed on', () => {
     const state = after(100, stated('p', 1, 2_000));
     expect(routableUntil(state, 100 as MonoTime)).toBe(2_000);
-    expect(ownUntil(state)).toBeUndefined();
+    expect(ownRoutableUntil(state)).toBeUndefined();
   });
 
   it('counts only for the epoch that it was given for', () => {
--- a/tests/lease-start.test.ts
+++ b/tests/lease-start.test.ts
@@ -6,7 +6,7 @@
 import type { StoreEra } from '../src/core/store-era';
 import { drive } from './support/lease';
 
-const SETTINGS = { ttlMs: 2_000, marginMs: 200, renewMs: 600, backupDelayMs: 300 };
+const SETTINGS = { ttlMs: 2_000, marginMs: 200, renewMs: 600, rankDelayMs: 300 };
 const TICK: LeaseEvent = { kind: 'tick' };
 
 function started(now: number): LeaseState {
--- a/tests/lease.test.ts
+++ b/tests/lease.test.ts
@@ -5,7 +5,7 @@
 import type { LeaseEvent, LeaseRow, LeaseState } from '../src/core/lease/types';
 import { drive } from './support/lease';
 
-const SETTINGS = { ttlMs: 10_000, marginMs: 1_000, renewMs: 2_500, backupDelayMs: 2_000 };
+const SETTINGS = { ttlMs: 10_000, marginMs: 1_000, renewMs: 2_500, rankDelayMs: 2_000 };
 
 function candidate(self = 'a', rank = 0): LeaseState {
   const options = { domain: 'd' as DomainId, self: self as DaemonId, session: `${self}1` };
--- a/tests/ledger-requests.test.ts
+++ b/tests/ledger-requests.test.ts
@@ -5,8 +5,8 @@
 import { createFakeTable } from './support/fake-table';
 import type { FakeTable, TableFaults } from './support/fake-table';
 import { errorOf, send } from './support/requests-client';
-import type { Seen } from './support/requests-client';
-import { createEngine, refuse, tear } from './support/requests-engine';
+import type { ReceivedResponse } from './support/requests-client';
+import { createEngine, refuse, breakConnection } from './support/requests-engine';
 import type { Script, ScriptedEngine } from './support/requests-engine';
 import { KEYS, createFixture, fakeObjects, testConfig } from './support/requests-fixture';
 import type { Fixture } from './support/requests-fixture';
@@ -51,7 +51,7 @@
   const backend = await createEngine(...scripts, script);
   const initial = testConfig({ backends: [backend.address], honoursIdempotencyKey });
   const clients = [table.client(), table.client()];
-  const settings = { claimWaitMs: 400, rowAnswerBytes: 64 };
+  const settings = { claimTimeoutMs: 400, maxRowAnswerBytes: 64 };
   const daemons = await Promise.all(
     clients.map((client) => createFixture({ initial, objects, table: client.table, settings })),
   );
@@ -59,12 +59,12 @@
   return { daemons, faults: clients.map((client) => client.faults), table, backend, ran };
 }
 
-function reserve(daemon: Fixture | undefined, key: string, body = '{"n":1}'): Promise<Seen> {
+function reserve(daemon: Fixture | undefined, key: string, body = '{"n":1}'): Promise<ReceivedResponse> {
   const headers = { 'idempotency-key': key };
   return send(`${daemon?.url ?? ''}/services/ledger/reserve`, { headers, body });
 }
 
-const outcomeOf = (seen: Seen): unknown => seen.headers['nutmegstack-outcome'];
+const outcomeOf = (seen: ReceivedResponse): unknown => seen.headers['nutmegstack-outcome'];
 
 describe('requests with an idempotency key', () => {
   it('run once, and give the stored answer through any daemon', async () => {
@@ -132,7 +132,7 @@
   });
 
   it('stay unknown, and are never sent again, once their answer was lost', async () => {
-    const { daemons, backend } = await setUp({ scripts: [tear] });
+    const { daemons, backend } = await setUp({ scripts: [breakConnection] });
     expect(outcomeOf(await reserve(daemons[0], 'k'))).toBe('unknown');
     for (const daemon of daemons) {
       const again = await reserve(daemon, 'k');
@@ -152,7 +152,7 @@
   it('go out again to a service that honours the key, even with the table down', async () => {
     const { daemons, faults, backend } = await setUp({
       honoursIdempotencyKey: true,
-      scripts: [tear],
+      scripts: [breakConnection],
     });
     expect(outcomeOf(await reserve(daemons[0], 'k'))).toBe('unknown');
     if (faults[1] !== undefined) faults[1].down = true;
--- a/tests/ledger-writer.test.ts
+++ b/tests/ledger-writer.test.ts
@@ -4,14 +4,14 @@
 
 import { createClock } from '../src/adapters/runtime';
 import { createClaimWriter } from '../src/app/requests/claim-writer';
-import type { ClaimWriter, WriterOptions } from '../src/app/requests/claim-writer';
+import type { ClaimWriter, ClaimWriterOptions } from '../src/app/requests/claim-writer';
 import { createFakeTable } from './support/fake-table';
 import { fakeMetrics } from './support/requests-fixture';
 
 const fake = () => {
   const table = createFakeTable();
   const client = table.client();
-  const create = (opts: Partial<WriterOptions> = {}): ClaimWriter =>
+  const create = (opts: Partial<ClaimWriterOptions> = {}): ClaimWriter =>
     createClaimWriter({
       table: client.table,
       clock: createClock(),
@@ -19,9 +19,9 @@
       daemons: () => 1,
       commitsPerSecond: 10_000,
       claimShare: 1,
-      batch: 64,
-      gatherMs: 1,
-      waitMs: 1_000,
+      maxBatch: 64,
+      lingerMs: 1,
+      queueTimeoutMs: 1_000,
       ...opts,
     });
   return { table, client, create };
@@ -73,8 +73,8 @@
       commitsPerSecond: 70,
       claimShare: 0.5,
       daemons: () => 7,
-      batch: 2,
-      waitMs: 300,
+      maxBatch: 2,
+      queueTimeoutMs: 300,
     });
     const writes = Array.from({ length: 40 }, (_, i) =>
       writer.write({ key: `k${i}`, version: 0, value: i }),
--- a/tests/quarantine-requests.test.ts
+++ b/tests/quarantine-requests.test.ts
@@ -4,7 +4,7 @@
 
 import type { GroupId } from '../src/core/ids';
 import { errorOf, sendChat } from './support/requests-client';
-import { answerWell, createEngine } from './support/requests-engine';
+import { answerNormally, createEngine } from './support/requests-engine';
 import type { Script } from './support/requests-engine';
 import { createFixture, fakeGossip, fakeGroups, testGroup } from './support/requests-fixture';
 
@@ -20,7 +20,7 @@
   const crashOn =
     (id: string): Script =>
     (call) => {
-      if (!JSON.stringify(call.body).includes('crash-me')) return answerWell(call);
+      if (!JSON.stringify(call.body).includes('crash-me')) return answerNormally(call);
       crashed.push(id);
       groups.groups = groups.groups.filter((group) => group.id !== id);
       call.res.destroy();
--- a/tests/quarantine.test.ts
+++ b/tests/quarantine.test.ts
@@ -3,15 +3,15 @@
 import { describe, expect, it } from 'vitest';
 
 import type { AttemptId, EpochTime, Fingerprint, GroupId, MonoTime } from '../src/core/ids';
-import { openGroups } from '../src/core/retry/isolate';
+import { allowedGroups } from '../src/core/retry/isolate';
 import {
-  clear,
+  clearStrikes,
   createQuarantine,
   onGroupLost,
   onPeerStrike,
   onRunStart,
-  onRunTorn,
-  settleStrikes,
+  onRunInterrupted,
+  decideDueStrikes,
   suspicionOf,
 } from '../src/core/retry/quarantine';
 import type {
@@ -50,7 +50,7 @@
     });
     return attempt;
   });
-  const torn = attempts.flatMap((attempt) => onRunTorn(state, attempt, at(ms)));
+  const torn = attempts.flatMap((attempt) => onRunInterrupted(state, attempt, at(ms)));
   const loss = { group: id as GroupId, domain, domainDark: false };
   return [...torn, ...onGroupLost(state, loss, at(ms + 10))];
 }
@@ -69,16 +69,16 @@
     const state = createQuarantine();
     fall(state, 'd1-a', [BAD, OTHER], 0);
     fall(state, 'd1-b', [BAD], 300);
-    settleStrikes(state, at(5_000));
+    decideDueStrikes(state, at(5_000));
     expect(suspicionOf(state, BAD, at(9_000))).toBe('clear');
   });
 
   it('leaves those alone that ran beside a suspect', () => {
     const state = createQuarantine();
     fall(state, 'd1-a', [BAD], 0);
-    settleStrikes(state, at(2_000));
+    decideDueStrikes(state, at(2_000));
     fall(state, 'd2-a', [BAD, OTHER], 10_000);
-    settleStrikes(state, at(12_000));
+    decideDueStrikes(state, at(12_000));
     expect(suspicionOf(state, BAD, at(20_000))).toBe('quarantined');
     expect(suspicionOf(state, OTHER, at(20_000))).toBe('clear');
   });
@@ -92,7 +92,7 @@
       startedAt: at(0).now,
     };
     onRunStart(state, { ...run, group: 'd1-a' as GroupId, domain: group('d1-a').domain });
-    expect(onRunTorn(state, run.attempt, at(0))).toEqual([]);
+    expect(onRunInterrupted(state, run.attempt, at(0))).toEqual([]);
     const loss = { group: 'd1-a' as GroupId, domain: group('d1-a').domain, domainDark: false };
     expect(onGroupLost(state, loss, at(60_000))).toEqual([]);
     expect(suspicionOf(state, BAD, at(60_000))).toBe('clear');
@@ -101,9 +101,9 @@
   it('wants one group more where the request was of another age each time', () => {
     const state = createQuarantine();
     fall(state, 'd1-a', [OTHER], 10_000, 9_000);
-    settleStrikes(state, at(12_000));
+    decideDueStrikes(state, at(12_000));
     fall(state, 'd2-a', [OTHER], 20_000, 100);
-    settleStrikes(state, at(22_000));
+    decideDueStrikes(state, at(22_000));
     expect(suspicionOf(state, OTHER, at(30_000))).toBe('suspect');
     fall(state, 'd3-a', [OTHER], 40_000, 4_000);
     expect(suspicionOf(state, OTHER, at(40_100))).toBe('quarantined');
@@ -121,10 +121,10 @@
       });
     }
     expect(suspicionOf(state, BAD, at(700))).toBe('quarantined');
-    settleStrikes(state, at(5_000));
+    decideDueStrikes(state, at(5_000));
     expect(suspicionOf(state, BAD, at(5_000))).toBe('quarantined');
     expect(suspicionOf(state, BAD, at(70_000))).toBe('clear');
-    clear(state, BAD);
+    clearStrikes(state, BAD);
     expect(suspicionOf(state, BAD, at(5_000))).toBe('clear');
   });
 
@@ -133,7 +133,7 @@
     const suspects = Array.from({ length: 4 }, (_, i) => `s${i}` as Fingerprint);
     fall(state, 'd1-a', suspects, 0);
     const groups = ['d1-b', 'd2-a', 'd2-b', 'd3-a', 'd3-b'].map(group);
-    const open = suspects.map((each) => openGroups(state, each, groups, at(100)));
+    const open = suspects.map((each) => allowedGroups(state, each, groups, at(100)));
     expect(open.every((each) => each.length === 1)).toBe(true);
     const ids = open.map((each) => each[0]?.id);
     expect(new Set(ids).size).toBe(4);
--- a/tests/report.test.ts
+++ b/tests/report.test.ts
@@ -6,7 +6,7 @@
 import { EXIT } from '../src/cli/command';
 import type { CommandContext } from '../src/cli/command';
 import { report as reportCommand } from '../src/cli/commands/report';
-import { readLine } from '../src/core/explain/explain';
+import { parseLogLine } from '../src/core/explain/explain';
 import { createReport } from '../src/core/report/report';
 import type { Report } from '../src/core/report/types';
 
@@ -59,7 +59,7 @@
 ];
 
 function reportOf(texts: readonly string[]): Report {
-  return createReport(texts.flatMap((text) => readLine(text) ?? []));
+  return createReport(texts.flatMap((text) => parseLogLine(text) ?? []));
 }
 
 describe('a report of the logs of several daemons', () => {
--- a/tests/requests-model.test.ts
+++ b/tests/requests-model.test.ts
@@ -6,14 +6,14 @@
 import { chatBody, errorOf, sendChat } from './support/requests-client';
 import {
   END_MARK,
-  answerWell,
+  answerNormally,
   createEngine,
-  echo,
+  echoedHeaders,
   frame,
   refuse,
   startSse,
-  tear,
-  wholeBody,
+  breakConnection,
+  completionBody,
 } from './support/requests-engine';
 import type { Script, ScriptedEngine } from './support/requests-engine';
 import { KEYS, createFixture, fakeGroups, testGroup } from './support/requests-fixture';
@@ -43,7 +43,7 @@
 
 describe('model calls', () => {
   it('passes a stream on whole, with the outcome as a trailer', async () => {
-    const { url } = await setUp([answerWell]);
+    const { url } = await setUp([answerNormally]);
     const seen = await sendChat(url, { stream: true });
     expect(seen.text).toBe(frame('hello ') + frame('world', 'stop') + END_MARK);
     expect(seen).toMatchObject({ status: 200, clean: true });
@@ -51,15 +51,15 @@
   });
 
   it('passes an answer on that is not streamed', async () => {
-    const { url } = await setUp([answerWell]);
+    const { url } = await setUp([answerNormally]);
     const seen = await sendChat(url);
-    expect(seen).toMatchObject({ status: 200, clean: true, text: wholeBody('hello world') });
+    expect(seen).toMatchObject({ status: 200, clean: true, text: completionBody('hello world') });
     expect(seen.headers['nutmegstack-outcome']).toBe('done');
   });
 
   it('tries another group when one cannot be reached, refuses or breaks before the first byte', async () => {
-    for (const bad of [refuse, tear]) {
-      const setup = await setUp([bad], [bad], [answerWell]);
+    for (const bad of [refuse, breakConnection]) {
+      const setup = await setUp([bad], [bad], [answerNormally]);
       const seen = await sendChat(setup.url, { stream: true });
       expect(seen).toMatchObject({ status: 200, clean: true });
     }
@@ -73,14 +73,14 @@
   });
 
   it('says unknown when the only attempt was sent and lost', async () => {
-    const { url } = await setUp([tear]);
+    const { url } = await setUp([breakConnection]);
     const seen = await sendChat(url);
     expect(seen.headers['nutmegstack-outcome']).toBe('unknown');
     expect(errorOf(seen)).toMatchObject({ code: 'backend-lost', step: 'first-byte' });
   });
 
   it('never sends a call again that is not repeatable once a byte left', async () => {
-    const setup = await setUp([tear], [tear]);
+    const setup = await setUp([breakConnection], [breakConnection]);
     const headers = { 'nutmegstack-repeatable': 'false' };
     const seen = await sendChat(setup.url, {}, { headers });
     expect(seen.headers['nutmegstack-outcome']).toBe('unknown');
@@ -117,7 +117,7 @@
       const seen = await sendChat(url, { stream: true });
       expect(seen.text).not.toContain('[DONE]');
       if (seen.status === 200) {
-        expect(seen.clean).toBe(false);
+        expect(seen.isComplete).toBe(false);
         expect(seen.text).toContain('event: error');
       }
       expect(seen.text).toContain('"outcome":"unknown"');
@@ -128,8 +128,8 @@
     for (const name of ['nutmegstack-attempt', 'nutmegstack-group', 'nutmegstack-epoch']) {
       const { url } = await setUp([
         ({ req, res }) => {
-          res.writeHead(200, { ...echo(req), [name]: 'another' });
-          res.end(wholeBody('not yours'));
+          res.writeHead(200, { ...echoedHeaders(req), [name]: 'another' });
+          res.end(completionBody('not yours'));
         },
       ]);
       const seen = await sendChat(url);
--- a/tests/requests-service.test.ts
+++ b/tests/requests-service.test.ts
@@ -3,7 +3,7 @@
 import { afterEach, describe, expect, it } from 'vitest';
 
 import { errorOf, send } from './support/requests-client';
-import { createEngine, refuse, tear } from './support/requests-engine';
+import { createEngine, refuse, breakConnection } from './support/requests-engine';
 import type { Script, ScriptedEngine } from './support/requests-engine';
 import { KEYS, createFixture, testConfig } from './support/requests-fixture';
 import type { Fixture } from './support/requests-fixture';
@@ -46,7 +46,7 @@
   });
 
   it('are not sent again by default once a byte left', async () => {
-    const setup = await setUp([tear], [tear]);
+    const setup = await setUp([breakConnection], [breakConnection]);
     const seen = await send(`${setup.url}/services/ledger/reserve`, { body: '{}' });
     expect(seen.headers['nutmegstack-outcome']).toBe('unknown');
     expect(callsOf(setup)).toBe(1);
@@ -62,7 +62,7 @@
       let ran = 0;
       const tearFirst: Script = (call) => {
         ran += 1;
-        return (ran === 1 ? tear : answerPlain)(call);
+        return (ran === 1 ? breakConnection : answerPlain)(call);
       };
       const setup = await setUp([tearFirst], [tearFirst]);
       const seen = await send(`${setup.url}/services/ledger/${path}`, options);
@@ -79,7 +79,7 @@
   });
 
   it('cannot pass for a repeatable path by dot segments or a longer name', async () => {
-    const setup = await setUp([tear], [tear]);
+    const setup = await setUp([breakConnection], [breakConnection]);
     const dots = await send(`${setup.url}/services/ledger/look/%2e%2E/reserve`, { body: '{}' });
     expect(dots).toMatchObject({ status: 404 });
     await send(`${setup.url}/services/ledger/lookout`, { body: '{}' });
--- a/tests/requests-streams.test.ts
+++ b/tests/requests-streams.test.ts
@@ -11,11 +11,11 @@
 import { chatBody, sendChat } from './support/requests-client';
 import {
   END_MARK,
-  answerWell,
+  answerNormally,
   createEngine,
   frame,
   startSse,
-  wholeBody,
+  completionBody,
 } from './support/requests-engine';
 import type { EngineCall, Script } from './support/requests-engine';
 import { KEYS, createFixture, fakeGroups, testGroup } from './support/requests-fixture';
@@ -54,7 +54,7 @@
   it('a slow caller holds back its own stream alone, and gets it whole in the end', async () => {
     let written = 0;
     const script: Script = async (call) => {
-      if (call.body.user !== 'slow') return answerWell(call);
+      if (call.body.user !== 'slow') return answerNormally(call);
       startSse(call);
       await flood(call, (bytes) => (written += bytes));
     };
@@ -65,7 +65,7 @@
 
     const slow = await openStream(fixture.url);
     for (let i = 0; i < 20; i += 1) {
-      expect((await sendChat(fixture.url, { stream: true })).clean).toBe(true);
+      expect((await sendChat(fixture.url, { stream: true })).isComplete).toBe(true);
     }
     const total = FRAME.length * FRAMES;
     expect(written).toBeLessThan(total / 2);
@@ -119,7 +119,7 @@
         const asked = /"content":"([^"]*)"/.exec(text)?.[1] ?? '';
         text = '';
         attempts.push(attempt);
-        const body = wholeBody(asked);
+        const body = completionBody(asked);
         const head = `HTTP/1.1 200 OK\r\nnutmegstack-group: g0\r\nnutmegstack-epoch: 1\r\n`;
         const more = `nutmegstack-attempt: ${attempt}\r\ncontent-length: ${body.length}\r\n\r\n`;
         socket.write(head + more + body);
@@ -137,7 +137,7 @@
     for (let i = 0; i < 30; i += 1) {
       const content = `question ${i}`;
       const seen = await sendChat(fixture.url, { messages: [{ role: 'user', content }] });
-      if (seen.status === 200) expect(seen.text).toBe(wholeBody(content));
+      if (seen.status === 200) expect(seen.text).toBe(completionBody(content));
       else expect(seen.headers['nutmegstack-outcome']).toBe('unknown');
     }
     expect(attempts.length).toBeGreaterThanOrEqual(30);
--- a/tests/requests-telemetry.test.ts
+++ b/tests/requests-telemetry.test.ts
@@ -5,7 +5,7 @@
 import type { Logger } from '../src/ports/runtime';
 import type { Span, Tracer } from '../src/ports/telemetry';
 import { sendChat } from './support/requests-client';
-import { createEngine, refuse, tear } from './support/requests-engine';
+import { createEngine, refuse, breakConnection } from './support/requests-engine';
 import { KEYS, createFixture, fakeGroups, testGroup } from './support/requests-fixture';
 
 const cleanups: (() => Promise<void>)[] = [];
@@ -36,7 +36,7 @@
 }
 
 it('has a span for each hop below the caller, and never a prompt or a key in logs and spans', async () => {
-  const engines = await Promise.all([createEngine(refuse), createEngine(tear)]);
+  const engines = await Promise.all([createEngine(refuse), createEngine(breakConnection)]);
   const groups = fakeGroups(engines.map(({ address }, i) => testGroup(`g${i}`, address)));
   const { tracer, spans } = recordingTracer();
   const lines: string[] = [];
--- a/tests/requests-waiting.test.ts
+++ b/tests/requests-waiting.test.ts
@@ -4,7 +4,7 @@
 
 import type { EpochTime } from '../src/core/ids';
 import { errorOf, sendChat } from './support/requests-client';
-import { answerWell, createEngine } from './support/requests-engine';
+import { answerNormally, createEngine } from './support/requests-engine';
 import { createFixture, fakeGroups, testGroup } from './support/requests-fixture';
 import type { FakeGroups, Fixture } from './support/requests-fixture';
 
@@ -23,7 +23,7 @@
 
 describe('a call while no group is routable', () => {
   it('is let in as soon as one is, although no other request tells of it', async () => {
-    const engine = await createEngine(answerWell);
+    const engine = await createEngine(answerNormally);
     cleanups.push(engine.close);
     const groups = fakeGroups();
     let looks = 0;
--- a/tests/retry.test.ts
+++ b/tests/retry.test.ts
@@ -4,7 +4,7 @@
 
 import type { MonoTime } from '../src/core/ids';
 import { combineExposure, outcomeWithoutAnswer } from '../src/core/outcome';
-import { createBudget, payIn, takeOut } from '../src/core/retry/budget';
+import { createBudget, deposit, tryWithdraw } from '../src/core/retry/budget';
 import { decideRetry, retryDelayMs } from '../src/core/retry/decide';
 import type { AttemptFailure, RetryFacts } from '../src/core/retry/decide';
 
@@ -62,8 +62,8 @@
     let budget = createBudget({ share: 0.1, burst: 5 });
     let allowed = 0;
     for (let i = 0; i < 1_000; i += 1) {
-      budget = payIn(budget);
-      const left = takeOut(budget);
+      budget = deposit(budget);
+      const left = tryWithdraw(budget);
       if (left === undefined) continue;
       budget = left;
       allowed += 1;
--- a/tests/routing.test.ts
+++ b/tests/routing.test.ts
@@ -3,7 +3,7 @@
 import { brandAs } from '../src/core/ids';
 import type { AttemptId, GroupId, MonoTime, OrganisationId } from '../src/core/ids';
 import type { Random } from '../src/core/random';
-import { affinityKey, probability } from '../src/core/routing/cache';
+import { affinityKey, hitProbability } from '../src/core/routing/cache';
 import {
   chooseGroup,
   createRouting,
@@ -93,7 +93,7 @@
     for (let i = 0; i < 4; i++) send(state, `x${i}`, 'g1', 0);
     onLoadReport(state, { group: brandAs<GroupId>('g1'), inFlight: 6, queued: 1 }, at(200));
     const load = state.groups.get(brandAs<GroupId>('g1'))?.load;
-    expect(load).toMatchObject({ inFlight: 4, others: 3 });
+    expect(load).toMatchObject({ inFlight: 4, peerLoad: 3 });
   });
 
   test('a report older than our sends does not hide them', () => {
@@ -103,7 +103,7 @@
     for (let i = 0; i < 4; i++) send(state, `x${i}`, 'g1', 50);
     onLoadReport(state, { group: brandAs<GroupId>('g1'), inFlight: 2, queued: 0 }, at(60));
     const load = state.groups.get(brandAs<GroupId>('g1'))?.load;
-    expect(load).toMatchObject({ inFlight: 4, others: 2 });
+    expect(load).toMatchObject({ inFlight: 4, peerLoad: 2 });
   });
 
   test('an attempt that ends twice is counted out once', () => {
@@ -158,7 +158,7 @@
     onCacheEvents(state, { group, events: [{ seq: 1, kind: 'stored', prefix }] }, at(0));
     const held = () => {
       const known = state.groups.get(group);
-      return known === undefined ? 0 : probability(state, prefix, known, brandAs<MonoTime>(0));
+      return known === undefined ? 0 : hitProbability(state, prefix, known, brandAs<MonoTime>(0));
     };
     const before = held();
     onCacheEvents(state, { group, events: [{ seq: 2, kind: 'stored', prefix: 'p' }] }, at(0));
--- a/tests/store-era.test.ts
+++ b/tests/store-era.test.ts
@@ -7,7 +7,7 @@
 import type { StoreEra } from '../src/core/store-era';
 import { drive } from './support/lease';
 
-const SETTINGS = { ttlMs: 2_000, marginMs: 200, renewMs: 600, backupDelayMs: 300 };
+const SETTINGS = { ttlMs: 2_000, marginMs: 200, renewMs: 600, rankDelayMs: 300 };
 const era = (value: number): StoreEra => value as StoreEra;
 const at = (ms: number): MonoTime => ms as MonoTime;
 
--- a/tests/support/fake-hub.ts
+++ b/tests/support/fake-hub.ts
@@ -2,13 +2,13 @@
 
 import { Subject } from 'rxjs';
 
-import type { Direct, DirectMessage, Gossip, GossipEntry, PeerInfo } from '../../src/app/parts';
+import type { DirectMessaging, DirectMessage, Gossip, GossipEntry, PeerInfo } from '../../src/app/parts';
 import type { ConfigVersion, DaemonId, ZoneId } from '../../src/core/ids';
 
 export interface HubMember {
   readonly self: DaemonId;
   readonly gossip: Gossip;
-  readonly direct: Direct;
+  readonly direct: DirectMessaging;
   readonly peers: () => readonly PeerInfo[];
 }
 
@@ -68,7 +68,7 @@
       received: entries,
       entries: (topic) => published.filter((entry) => entry.topic === topic),
     };
-    const direct: Direct = {
+    const direct: DirectMessaging = {
       send: (to, topic, value) => {
         const line = lines.get(to);
         if (!line || !reaches(id, to)) return false;
--- a/tests/support/membership-daemons.ts
+++ b/tests/support/membership-daemons.ts
@@ -43,12 +43,12 @@
 }
 
 export const QUICK: Partial<MembershipPartSettings> = {
-  probeMs: 100,
+  probeIntervalMs: 100,
   probeTimeoutMs: 40,
-  suspectMs: 150,
-  syncMs: 300,
-  rejoinMs: 100,
-  announceMsPerDaemon: 5,
+  suspectTimeoutMs: 150,
+  syncIntervalMs: 300,
+  rejoinIntervalMs: 100,
+  announceIntervalMsPerDaemon: 5,
   tickMs: 10,
   listMs: 200,
   links: { longestMs: 100 },
--- a/tests/support/processes.ts
+++ b/tests/support/processes.ts
@@ -8,12 +8,12 @@
 const readyLine = z.looseObject({ ready: z.literal(true) });
 
 /** A program that has said it is ready. */
-export interface Running {
+export interface RunningProgram {
   readonly ready: Record<string, unknown>;
   readonly child: ChildProcess;
   /** Lines written so far to standard output, after the ready line, and to standard error. */
   readonly lines: readonly string[];
-  freeze(): void;
+  suspend(): void;
   resume(): void;
   /** SIGKILL. */
   kill(): Promise<void>;
@@ -31,7 +31,7 @@
   program: string,
   args: readonly string[],
   env: Readonly<Record<string, string>> = {},
-): Promise<Running> {
+): Promise<RunningProgram> {
   const child = spawn(process.execPath, [`dist/${program}.cjs`, ...args], {
     env: { ...process.env, ...env },
     stdio: ['ignore', 'pipe', 'pipe'],
@@ -57,7 +57,7 @@
         ready: parsed,
         child,
         lines,
-        freeze: () => child.kill('SIGSTOP'),
+        suspend: () => child.kill('SIGSTOP'),
         resume: () => child.kill('SIGCONT'),
         kill: async () => {
           child.kill('SIGKILL');
--- a/tests/support/requests-client.ts
+++ b/tests/support/requests-client.ts
@@ -5,13 +5,13 @@
 
 import { KEYS, MODEL } from './requests-fixture';
 
-export interface Seen {
+export interface ReceivedResponse {
   readonly status: number;
   readonly headers: IncomingHttpHeaders;
   readonly trailers: NodeJS.Dict<string>;
   readonly text: string;
   /** False if the connection broke before the end of the answer. */
-  readonly clean: boolean;
+  readonly isComplete: boolean;
 }
 
 export interface SendOptions {
@@ -20,7 +20,7 @@
   readonly body?: string;
 }
 
-export function send(url: string, options: SendOptions = {}): Promise<Seen> {
+export function send(url: string, options: SendOptions = {}): Promise<ReceivedResponse> {
   const { method = 'POST', body = '' } = options;
   const headers = { authorization: `Bearer ${KEYS.armor}`, ...options.headers };
   return new Promise((resolve, reject) => {
@@ -34,7 +34,7 @@
       res.on('close', () => {
         const { statusCode: status = 0, trailers, complete: clean } = res;
         const text = Buffer.concat(chunks).toString();
-        resolve({ status, headers: res.headers, trailers, text, clean });
+        resolve({ status, headers: res.headers, trailers, text, isComplete: clean });
       });
     });
     req.on('error', reject);
@@ -50,12 +50,12 @@
   url: string,
   fields: Record<string, unknown> = {},
   options: SendOptions = {},
-): Promise<Seen> {
+): Promise<ReceivedResponse> {
   return send(`${url}/v1/chat/completions`, { body: chatBody(fields), ...options });
 }
 
 /** The error object of an answer. */
-export function errorOf(seen: Seen): Record<string, unknown> {
+export function errorOf(seen: ReceivedResponse): Record<string, unknown> {
   const parsed = JSON.parse(seen.text) as { error: Record<string, unknown> };
   return parsed.error;
 }
--- a/tests/support/requests-engine.ts
+++ b/tests/support/requests-engine.ts
@@ -22,7 +22,7 @@
 }
 
 /** The headers that a proper engine echoes. */
-export function echo(req: IncomingMessage): Record<string, string> {
+export function echoedHeaders(req: IncomingMessage): Record<string, string> {
   const names = ['nutmegstack-group', 'nutmegstack-epoch', 'nutmegstack-attempt'];
   return Object.fromEntries(names.map((name) => [name, String(req.headers[name])]));
 }
@@ -35,20 +35,20 @@
 export const END_MARK = 'data: [DONE]\n\n';
 
 export function startSse({ req, res }: EngineCall): void {
-  res.writeHead(200, { ...echo(req), 'content-type': 'text/event-stream' });
+  res.writeHead(200, { ...echoedHeaders(req), 'content-type': 'text/event-stream' });
 }
 
-export function wholeBody(content: string): string {
+export function completionBody(content: string): string {
   const message = { role: 'assistant', content };
   return JSON.stringify({ choices: [{ index: 0, message, finish_reason: 'stop' }] });
 }
 
 /** Answers as an engine should. */
-export const answerWell: Script = (call) => {
+export const answerNormally: Script = (call) => {
   const { req, res, body } = call;
   if (body.stream !== true) {
-    res.writeHead(200, { ...echo(req), 'content-type': 'application/json' });
-    res.end(wholeBody('hello world'));
+    res.writeHead(200, { ...echoedHeaders(req), 'content-type': 'application/json' });
+    res.end(completionBody('hello world'));
     return;
   }
   startSse(call);
@@ -59,12 +59,12 @@
 
 /** Refuses, and says that it did not run. */
 export const refuse: Script = ({ req, res }) => {
-  res.writeHead(503, { ...echo(req), 'nutmegstack-refused': 'true' });
+  res.writeHead(503, { ...echoedHeaders(req), 'nutmegstack-refused': 'true' });
   res.end('{}');
 };
 
 /** Breaks the connection without an answer. */
-export const tear: Script = ({ res }) => {
+export const breakConnection: Script = ({ res }) => {
   res.destroy();
 };
 
@@ -82,7 +82,7 @@
     const call = { req, res, body: await readJson(req) };
     calls.push(call);
     const script = state.scripts.length > 1 ? state.scripts.shift() : state.scripts[0];
-    await (script ?? answerWell)(call);
+    await (script ?? answerNormally)(call);
   };
   const { server, address } = await listen((req, res) => void serve(req, res));
   const engine = Object.assign(state, { address, calls, close: () => closeServer(server) });
--- a/tests/support/system.ts
+++ b/tests/support/system.ts
@@ -5,7 +5,7 @@
 
 import { freePorts } from '../../scripts/demo/processes';
 import { run, until } from './processes';
-import type { Running } from './processes';
+import type { RunningProgram } from './processes';
 
 export const OPERATOR_KEY = 'operator-key-of-the-tests';
 export const CALLER_KEY = 'caller-key-of-the-tests';
@@ -17,13 +17,13 @@
 const addressList = z.object({ callers: z.string(), admin: z.string(), peers: z.string() });
 
 export interface EngineProcess {
-  readonly process: Running;
+  readonly process: RunningProgram;
   readonly domain: string;
   readonly members: readonly { readonly instance: string; readonly address: string }[];
 }
 
 export interface DaemonProcess {
-  readonly process: Running;
+  readonly process: RunningProgram;
   readonly id: string;
   readonly callers: string;
   readonly admin: string;
@@ -40,7 +40,7 @@
 
 export interface System {
   readonly platform: string;
-  readonly platformProcess: Running;
+  readonly platformProcess: RunningProgram;
   readonly engines: readonly EngineProcess[];
   readonly service: string;
   readonly daemons: DaemonProcess[];
