--- a/bench/limits.ts
+++ b/bench/limits.ts
@@ -2,10 +2,10 @@
 
 import { createRandom } from '../src/adapters/runtime';
 import { encodeFrame } from '../src/adapters/peers/codec';
-import { tell } from '../src/core/gateway/limits/known';
+import { listLimitUpdates } from '../src/core/gateway/limits/known';
 import type { KnownLimits } from '../src/core/gateway/limits/known';
 import { refill, shareOf } from '../src/core/gateway/limits/share';
-import type { Turns } from '../src/core/gateway/limits/share';
+import type { ShareBucket } from '../src/core/gateway/limits/share';
 import { brandAs } from '../src/core/ids';
 import type { DaemonId, InstanceId, MonoTime } from '../src/core/ids';
 import { findExcess, usedShare } from '../tests/fuzz/limits';
@@ -47,7 +47,7 @@
   const known: KnownLimits = new Map(
     servers.map((server) => [
       server,
-      { perSecond: LIMIT_PER_S, sentAt: now(0), heardAt: now(0), isOwn: false },
+      { perSecond: LIMIT_PER_S, sentAt: now(0), receivedAt: now(0), isOwn: false },
     ]),
   );
   const facts = { limitPerS: LIMIT_PER_S, self, daemons };
@@ -55,7 +55,7 @@
     for (const server of servers) shareOf({ server, ...facts });
   };
   const share = shareOf({ server: servers[0] ?? brandAs<InstanceId>('i'), ...facts });
-  let turns: Turns = { saved: 0, at: now(0) };
+  let turns: ShareBucket = { tokens: 0, at: now(0) };
   let at = 0;
   const lookUp = (): void => {
     turns = refill(turns, share, now((at += 1)));
@@ -68,7 +68,7 @@
     limitedServers: servers.length,
     sharesAnewMs: round(timeMs(shareAll, REPEATS)),
     turnNs: round(timeMs(lookUp, LOOKUPS) * 1e6, 0),
-    bytesToldToAll: encodeFrame(tell(known, now(250), { ofAll: true })).length,
+    bytesToldToAll: encodeFrame(listLimitUpdates(known, now(250), { ofAll: true })).length,
     used: round(mean(results.map(usedShare)), 2),
     excesses: results.filter((result) => findExcess(result) !== undefined).length,
   };
--- a/bench/quarantine-loop.ts
+++ b/bench/quarantine-loop.ts
@@ -219,7 +219,8 @@
     if (state === undefined) return;
     onRunEnd(state, run.attempt);
     if (!run.suspect) return;
-    for (const each of states) after(WORLD.gossipMs, () => void clearStrikes(each, run.req.fingerprint));
+    for (const each of states)
+      after(WORLD.gossipMs, () => void clearStrikes(each, run.req.fingerprint));
   };
 
   const arrive = (isBad: boolean): void => {
--- a/src/app/control/measures.ts
+++ b/src/app/control/measures.ts
@@ -1,7 +1,7 @@
 /** Keeps the running totals of downtime and stranded accelerators, and hands them to the metrics. */
 
-import { ZERO_TOTALS, addShortfall, shortfallOf } from '../../core/groups/totals';
-import type { Shortfall, ShortfallTotals } from '../../core/groups/totals';
+import { ZERO_TOTALS, addShortfall, shortfallOf } from '../../core/groups/shortfall';
+import type { Shortfall, ShortfallTotals } from '../../core/groups/shortfall';
 import type { DomainState } from '../../core/groups/domain-types';
 import type { ModelId, MonoTime } from '../../core/ids';
 import type { ControlContext } from './context';
--- a/src/app/control/roles.ts
+++ b/src/app/control/roles.ts
@@ -81,6 +81,7 @@
       const isOwn = domain !== undefined && leases.holderOf(domain) === ctx.self;
       return isOwn || observesNow(group);
     },
-    isLister: () => rankOf('instance-list', ctx.self, hashCandidates(ctx.membership.peers())) < LISTERS,
+    isLister: () =>
+      rankOf('instance-list', ctx.self, hashCandidates(ctx.membership.peers())) < LISTERS,
   };
 }
--- a/src/app/control/status.ts
+++ b/src/app/control/status.ts
@@ -1,7 +1,7 @@
 /** What `status` shows of the control plane. */
 
 import { routableUntil } from '../../core/groups/watch';
-import type { ShortfallTotals } from '../../core/groups/totals';
+import type { ShortfallTotals } from '../../core/groups/shortfall';
 import type { DomainState } from '../../core/groups/domain-types';
 import type { Json } from '../../ports/platform';
 import type { ControlContext } from './context';
--- a/src/app/control/view.ts
+++ b/src/app/control/view.ts
@@ -1,6 +1,11 @@
 /** Where model requests may go, as the request plane asks and is told. */
 
-import { NO_FORMING_ESTIMATES, estimateReadyAt, trackForming, recordFormingTime } from '../../core/groups/expect';
+import {
+  NO_FORMING_ESTIMATES,
+  estimateReadyAt,
+  trackForming,
+  recordFormingTime,
+} from '../../core/groups/forming-estimates';
 import { isAwaitingProbe } from '../../core/groups/watch';
 import { later } from '../../core/ids';
 import type { GroupView } from '../parts';
--- a/src/app/daemon.ts
+++ b/src/app/daemon.ts
@@ -25,7 +25,7 @@
 import type { ConfigPart, Parts } from './parts';
 import { createRequests } from './requests/requests';
 import type { DaemonSettings, RunningDaemon } from './settings';
-import { createShutdown } from './stop';
+import { createShutdown } from './shutdown';
 
 function ownEntry(settings: DaemonSettings, state: InstanceEntry['state']): InstanceEntry {
   return {
--- a/src/app/gateway/config-view.ts
+++ b/src/app/gateway/config-view.ts
@@ -2,7 +2,7 @@
 
 import { BehaviorSubject } from 'rxjs';
 
-import { longestCallMs } from '../../core/gateway/polling';
+import { maxCallMs } from '../../core/gateway/polling';
 import { createRouteTable } from '../../core/gateway/routes';
 import type { RouteTable } from '../../core/gateway/routes';
 import type { GatewayConfig } from '../../core/gateway/types';
@@ -80,7 +80,7 @@
   };
 
   const trustUntil = (now: MonoTime): MonoTime => {
-    const leftMs = longestCallMs(ctx.tunables.value.settleMs) - vouchedAgeMs(now);
+    const leftMs = maxCallMs(ctx.tunables.value.settleMs) - vouchedAgeMs(now);
     return later(now, Math.max(0, leftMs));
   };
 
--- a/src/app/gateway/exchange.ts
+++ b/src/app/gateway/exchange.ts
@@ -3,7 +3,7 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
 import type { Caller } from '../../core/gateway/routes';
-import { nameOf } from '../../core/gateway/routes';
+import { organisationNameOf } from '../../core/gateway/routes';
 import type { Route } from '../../core/gateway/types';
 import { later } from '../../core/ids';
 import type { GroupId, InstanceId, MonoTime, ServiceId } from '../../core/ids';
@@ -87,7 +87,7 @@
   const { outcome } = ending;
   ctx.metrics.count('nutmegstack_calls_total', { route: exchange.route.name, outcome });
   ctx.metrics.observe('nutmegstack_call_ms', ms, { kind: exchange.route.kind });
-  const organisation = nameOf(exchange.caller);
+  const organisation = organisationNameOf(exchange.caller);
   const fields = {
     step: 'end',
     ...(exchange.facts.requestId !== undefined && { requestId: exchange.facts.requestId }),
--- a/src/app/gateway/fleet.ts
+++ b/src/app/gateway/fleet.ts
@@ -4,13 +4,13 @@
 import type { Observable } from 'rxjs';
 
 import { createPeers } from '../../adapters/peers/peers';
-import { listSilent } from '../../core/gateway/limits/share';
-import { isSilent, noteSpoken } from '../../core/gateway/silence';
-import type { Conversation } from '../../core/gateway/silence';
+import { listUnresponsive } from '../../core/gateway/limits/share';
+import { isLinkUnresponsive, noteLinkSend } from '../../core/gateway/link-health';
+import type { LinkActivity } from '../../core/gateway/link-health';
 import { brandAs, later } from '../../core/ids';
 import type { DaemonId, MonoTime } from '../../core/ids';
 import { rankSuccessors } from '../../core/gateway/succession';
-import type { Strengths } from '../../core/gateway/succession';
+import type { CoreCounts } from '../../core/gateway/succession';
 import type { Change, DaemonEntry, Feed } from '../../ports/gateway';
 import { sample } from '../../utils/common';
 import type { GatewayContext } from './context';
@@ -30,7 +30,7 @@
   /** Whether there are too many daemons for each to tell each what it knows. */
   isLarge(): boolean;
   /** Daemons that may be at work: heard of lately, or entered in the store; without those that stop. */
-  candidates(): Strengths;
+  candidates(): CoreCounts;
   /** Entered daemons that give no sign, as those say that hear most of them. */
   silent(): readonly DaemonId[];
   readonly received: Observable<ReceivedMessage>;
@@ -97,7 +97,7 @@
   const received = new Subject<ReceivedMessage>();
   /** By address: when a peer was last heard of, and what it is being told. */
   const heardAt = new Map<string, MonoTime>();
-  const conversations = new Map<string, Conversation>();
+  const conversations = new Map<string, LinkActivity>();
 
   const watch = watchFeed(ctx, {
     feed: entries,
@@ -179,7 +179,7 @@
     const told = leader()?.silent;
     if (told) return told;
     const heardNow = new Set([settings.id, ...live().map(({ id }) => id)]);
-    return listSilent([...known.keys()], heardNow);
+    return listUnresponsive([...known.keys()], heardNow);
   };
 
   const addresses = (): Set<string> => {
@@ -210,7 +210,7 @@
     const now = clock.now();
     for (const [id, { at }] of heard) if (now >= later(at, FORGET_MS)) heard.delete(id);
     for (const [address, at] of heardAt) if (now >= later(at, FORGET_MS)) heardAt.delete(address);
-    for (const [address, { spokeAt }] of conversations) {
+    for (const [address, { lastSentAt: spokeAt }] of conversations) {
       if (now >= later(spokeAt, FORGET_MS)) conversations.delete(address);
     }
   };
@@ -218,9 +218,9 @@
   /** Breaks the link to a peer that answers what it is told now and has fallen silent. */
   const renewSilent = (address: string, now: MonoTime): void => {
     const { settleMs } = ctx.tunables.value;
-    const conversation = noteSpoken(conversations.get(address), now, settleMs);
+    const conversation = noteLinkSend(conversations.get(address), now, settleMs);
     conversations.set(address, conversation);
-    if (!isSilent(conversation, heardAt.get(address), now, settleMs)) return;
+    if (!isLinkUnresponsive(conversation, heardAt.get(address), now, settleMs)) return;
     ctx.logger.info('peer is silent, link made anew', { step: 'peer-link', peer: address });
     conversations.delete(address);
     peers.drop(address);
--- a/src/app/gateway/gossip.ts
+++ b/src/app/gateway/gossip.ts
@@ -1,24 +1,24 @@
 /** Tells peers what this daemon knows, and gives those that are behind what they lack. */
 
-import { joinNews } from '../../core/gateway/news';
+import { mergeUpdates } from '../../core/gateway/collection-updates';
 import type { ConfigVersion, MonoTime } from '../../core/ids';
 import { brandAs, later } from '../../core/ids';
 import { isLater, ORIGIN_POSITION } from '../../core/store-era';
 import type { Arrivals } from './arrivals';
-import type { GroupRegistry } from './board';
+import type { GroupRegistry } from './group-registry';
 import type { ConfigView } from './config-view';
 import type { GatewayContext } from './context';
-import { createStallReporting } from './findings';
+import { createStallReporting } from './stall-reporting';
 import type { Fleet } from './fleet';
-import type { GroupPlanner } from './former';
+import type { GroupPlanner } from './group-planner';
 import type { Leadership } from './lease';
-import type { LeavingServers } from './leaving';
-import type { RateLimits } from './limits';
+import type { LeavingServers } from './leaving-servers';
+import type { RateLimits } from './rate-limits';
 import { sumLoads, withoutOwn } from './loads';
 import type { PeerState, PlainMessage, PeerProgress } from './messages';
 import type { ReceivedMessage, PeerView } from './peer-view';
-import type { ServerRegistry, ServerUpdates } from './roster';
-import type { WaitQueue } from './waiting';
+import type { ServerRegistry, ServerUpdates } from './server-registry';
+import type { WaitQueue } from './wait-queue';
 import { createWorkLog } from './work-log';
 
 export interface GossipDeps {
@@ -315,7 +315,7 @@
       pendingNews = undefined;
       return;
     }
-    pendingNews = joinNews(pendingNews, news);
+    pendingNews = mergeUpdates(pendingNews, news);
     tellNews(ctx.clock.now());
   });
 
--- a/src/app/gateway/group-index.ts
+++ b/src/app/gateway/group-index.ts
@@ -9,7 +9,7 @@
 import type { EngineSpec, ModelSpec } from '../../core/gateway/types';
 import type { InstanceId, ServiceId } from '../../core/ids';
 import type { GatewayContext } from './context';
-import type { ServerRegistry } from './roster';
+import type { ServerRegistry } from './server-registry';
 
 /** An open group with the figures of its service. */
 export interface ServingGroup extends OpenGroup {
--- a/src/app/gateway/group-planner.ts
+++ b/src/app/gateway/group-planner.ts
@@ -4,7 +4,7 @@
 import type { Observable } from 'rxjs';
 
 import type { FormingState, FormingView, OrderEffect } from '../../core/gateway/forming/state';
-import { createForming } from '../../core/gateway/forming/state';
+import { createFormingState } from '../../core/gateway/forming/state';
 import { EPOCHS_PER_LEASE, isStandby } from '../../core/gateway/forming/start';
 import { noteResult, noteSuspect, planGroups } from '../../core/gateway/forming/plan';
 import type { RouteTable } from '../../core/gateway/routes';
@@ -20,10 +20,10 @@
 } from '../../core/ids';
 import type { Servers } from '../../ports/gateway';
 import { pause } from '../../utils/pause';
-import type { Stall } from './board';
+import type { Stall } from './group-registry';
 import type { GatewayContext } from './context';
 import type { Leadership } from './lease';
-import type { ServerRegistry } from './roster';
+import type { ServerRegistry } from './server-registry';
 
 export interface GroupPlanner {
   /** Plans anew; to be called after each change and every so often. */
@@ -65,7 +65,10 @@
   readonly offeredLoad: () => ReadonlyMap<ModelId, number>;
 }
 
-export function createGroupPlanner(ctx: GatewayContext, options: GroupPlannerOptions): GroupPlanner {
+export function createGroupPlanner(
+  ctx: GatewayContext,
+  options: GroupPlannerOptions,
+): GroupPlanner {
   const { clock, logger } = ctx;
   const { roster, routes, leadership, servers, isBusy } = options;
   let term: FencingNumber | undefined;
@@ -98,7 +101,7 @@
 
   const stateOf = (service: ServiceId): FormingState => {
     const { headBreakMs, loadWindowMs } = ctx.tunables.value;
-    const state = states.get(service) ?? createForming();
+    const state = states.get(service) ?? createFormingState();
     return { ...state, settings: { ...state.settings, headBreakMs, loadWindowMs } };
   };
 
@@ -112,7 +115,7 @@
     const { ended } = roster;
     const servers = new Map(own);
     const view = { servers, lapsed: new Map(lapsed), ended, engine, fencing, hasTraffic };
-    return hasTraffic && smoothed.size > 0 ? { ...view, demand: smoothed } : view;
+    return hasTraffic && smoothed.size > 0 ? { ...view, offeredLoad: smoothed } : view;
   };
 
   const send = async (
@@ -191,7 +194,7 @@
     if (fencing !== term) begin(fencing);
     noteDemand();
     for (const service of table.config.services) planService(service, fencing);
-    if ([...states.values()].some(({ epochs }) => epochs >= EPOCHS_PER_LEASE / 2)) {
+    if ([...states.values()].some(({ epochCount: epochs }) => epochs >= EPOCHS_PER_LEASE / 2)) {
       leadership.release();
     }
   };
--- a/src/app/gateway/group-registry.ts
+++ b/src/app/gateway/group-registry.ts
@@ -8,34 +8,39 @@
   createProgress,
   noteEnded,
   noteEvent,
-  noteRead,
+  notePrefilled,
   noteSent,
-  readableTokens,
+  maxPrefillTokens,
   publishedHoldMs,
   slowdownOf,
-  usualPauseMs,
+  expectedPauseMs,
 } from '../../core/gateway/progress';
 import type { Progress } from '../../core/gateway/progress';
-import { departuresIn, mostQueued, reuseChance, roomIn } from '../../core/gateway/room';
-import type { GroupRoom } from '../../core/gateway/room';
+import {
+  departuresIn,
+  maxQueued,
+  reuseProbability,
+  freeCapacityOf,
+} from '../../core/gateway/capacity';
+import type { GroupCapacity } from '../../core/gateway/capacity';
 import type { RouteTable } from '../../core/gateway/routes';
 import { isSuspect, noteEvidence } from '../../core/gateway/suspicion';
 import type { Evidence, Suspicions } from '../../core/gateway/suspicion';
 import { summarizeWork } from '../../core/gateway/work';
 import type { ModelWork, WaitingLoad } from '../../core/gateway/work';
 import type { GroupId, InstanceId, ModelId, MonoTime, ServiceId } from '../../core/ids';
-import { minOrZero } from './allowances';
-import type { Throttle } from './allowances';
+import { minOrZero } from './throttle';
+import type { Throttle } from './throttle';
 import type { GatewayContext } from './context';
-import { createGroupIndex } from './directory';
-import type { ServingGroup } from './directory';
+import { createGroupIndex } from './group-index';
+import type { ServingGroup } from './group-index';
 import type { LoadSums } from './loads';
 import { createPeerLoads } from './peer-loads';
 import type { LoadSource } from './peer-loads';
-import { createSlotAdmission } from './rooms';
-import type { Admission, ModelOfferedLoad } from './rooms';
-import type { ServerRegistry } from './roster';
-import { createStallDetector } from './silence-watch';
+import { createSlotAdmission } from './slot-admission';
+import type { Admission, ModelOfferedLoad } from './slot-admission';
+import type { ServerRegistry } from './server-registry';
+import { createStallDetector } from './stall-detector';
 
 export interface Stall {
   readonly group: GroupId;
@@ -116,7 +121,7 @@
   tick(): void;
 }
 
-type Turnover = Pick<GroupRoom, 'running' | 'batchSize' | 'queued' | 'departing'>;
+type Turnover = Pick<GroupCapacity, 'running' | 'batchSize' | 'queued' | 'departing'>;
 
 export interface LoadSnapshot extends LoadSource {
   readonly ageMs: number;
@@ -147,14 +152,14 @@
     (progress.get(head)?.running ?? 0) + others.running(head);
 
   const unreadIn = (head: InstanceId): number =>
-    (progress.get(head)?.unread ?? 0) + others.unread(head);
+    (progress.get(head)?.pendingPrefill ?? 0) + others.unread(head);
 
   /** Time that the prompts sent to the group take to be read, milliseconds. */
   const readingMs = ({ head, engine, spec }: ServingGroup): number =>
     (spec.pace * unreadIn(head.id)) / engine.prefillTokensPerMs;
 
   const usualOf = ({ engine, spec, head }: ServingGroup): number =>
-    usualPauseMs(engine, spec.pace, runningIn(head.id));
+    expectedPauseMs(engine, spec.pace, runningIn(head.id));
 
   const ownPace = (group: ServingGroup): number | undefined => {
     const seen = progress.get(group.head.id);
@@ -175,7 +180,7 @@
     return {
       running,
       batchSize,
-      queued: mostQueued(batchSize, { slackMs, holdMs }),
+      queued: maxQueued(batchSize, { slackMs, holdMs }),
       departing: departuresIn({ running, batchSize }, rooms.loadAgeMs(), holdMs),
     };
   };
@@ -186,19 +191,24 @@
     const { running, batchSize } = turnover;
     const load = {
       ...{ running, batchSize },
-      unread: unreadIn(head.id),
-      maxUnread: readableTokens(engine, spec.pace, running, maxPauseMs),
+      pendingPrefill: unreadIn(head.id),
+      maxPendingPrefill: maxPrefillTokens(engine, spec.pace, running, maxPauseMs),
+    };
+    const promptTokens = engine.usual.prompt;
+    const prefills = (rooms.loadAgeMs() * engine.prefillTokensPerMs) / (spec.pace * promptTokens);
+    const room = {
+      ...load,
+      ...turnover,
+      meanPromptTokens: promptTokens,
+      prefillsUntilUpdate: prefills,
     };
-    const usualPrompt = engine.usual.prompt;
-    const readMeanwhile = (rooms.loadAgeMs() * engine.prefillTokensPerMs) / (spec.pace * usualPrompt);
-    const room = { ...load, ...turnover, usualPrompt, readMeanwhile };
     const turns = allowances.tokens(head.id);
     return {
       ...load,
       head: head.id,
       zone: head.zone,
-      room: Math.min(turns, roomIn(room)),
-      freePlaces: Math.min(turns, roomIn({ ...room, departing: 0 })),
+      freeCapacity: Math.min(turns, freeCapacityOf(room)),
+      freeSlots: Math.min(turns, freeCapacityOf({ ...room, departing: 0 })),
       slowdown: paceOf(group),
       isTried: tried.has(head.id),
     };
@@ -207,7 +217,8 @@
   const freePlace = (group: ServingGroup, holdMs: number | undefined): void => {
     const { id, head, model } = group;
     if (holdMs !== undefined) rooms.noteHold(model, holdMs);
-    if (!isHeld(id) && ctx.random.next() < reuseChance(turnoverOf(group))) rooms.noteSlotFreed(head.id);
+    if (!isHeld(id) && ctx.random.next() < reuseProbability(turnoverOf(group)))
+      rooms.noteSlotFreed(head.id);
   };
 
   const isHeld = (group: GroupId): boolean => isSuspect(suspicions, group, clock.now());
@@ -276,7 +287,7 @@
       allowances.takeToken(head);
     },
     notePrefilled: (head, promptTokens) => {
-      progress.set(head, noteRead(progressOf(head), promptTokens));
+      progress.set(head, notePrefilled(progressOf(head), promptTokens));
     },
     noteEnded: (head, unread, holdMs) => {
       const group = groups().get(head);
@@ -291,7 +302,7 @@
     running: () =>
       [...progress]
         .filter(([, { running }]) => running > 0)
-        .map(([head, { running, unread }]) => [head, running, unread] as const),
+        .map(([head, { running, pendingPrefill: unread }]) => [head, running, unread] as const),
     paces: () =>
       [...progress.keys()].flatMap((head) => {
         const group = groups().get(head);
--- a/src/app/gateway/http-server.ts
+++ b/src/app/gateway/http-server.ts
@@ -115,7 +115,11 @@
   };
 }
 
-async function serve(deps: HttpServerDeps, req: IncomingMessage, res: ServerResponse): Promise<void> {
+async function serve(
+  deps: HttpServerDeps,
+  req: IncomingMessage,
+  res: ServerResponse,
+): Promise<void> {
   const { ctx, config, dialect } = deps;
   const arrivedAt = ctx.clock.now();
   const gone = watchCaller(res);
--- a/src/app/gateway/lease.ts
+++ b/src/app/gateway/lease.ts
@@ -1,6 +1,6 @@
 /** Holds or seeks the one lease under which replica groups are formed. */
 
-import { rankSuccessors, readDelayMs } from '../../core/gateway/succession';
+import { rankSuccessors, leaseReadDelayMs } from '../../core/gateway/succession';
 import { brandAs, later } from '../../core/ids';
 import type { DomainId, FencingNumber, MonoTime } from '../../core/ids';
 import { leaseKeys, leasePrefix } from '../../core/lease/keys';
@@ -175,7 +175,7 @@
     rank(now);
     dispatch({ kind: 'tick' });
     if (state.held || now < readAt || state.reading || ctx.store.isAway()) return;
-    if (now < later(ledAt, readDelayMs(state.rank, state.settings.rankDelayMs))) return;
+    if (now < later(ledAt, leaseReadDelayMs(state.rank, state.settings.rankDelayMs))) return;
     readAt = later(now, READ_MS * (0.8 + 0.4 * ctx.random.next()));
     state = { ...state, reading: true };
     void read();
--- a/src/app/gateway/leaving-servers.ts
+++ b/src/app/gateway/leaving-servers.ts
@@ -6,7 +6,7 @@
 import { later } from '../../core/ids';
 import type { InstanceId, MonoTime } from '../../core/ids';
 import type { GatewayContext } from './context';
-import type { ServerRegistry } from './roster';
+import type { ServerRegistry } from './server-registry';
 
 export interface LeavingServers {
   /** The server said so in an answer to this daemon. */
@@ -25,7 +25,10 @@
   readonly isOwn: boolean;
 }
 
-export function createLeavingServers({ clock, logger }: GatewayContext, roster: ServerRegistry): LeavingServers {
+export function createLeavingServers(
+  { clock, logger }: GatewayContext,
+  roster: ServerRegistry,
+): LeavingServers {
   const heard = new Map<InstanceId, Heard>();
 
   const forgetOld = (now: MonoTime): void => {
--- a/src/app/gateway/peer-loads.ts
+++ b/src/app/gateway/peer-loads.ts
@@ -1,6 +1,6 @@
 /** What the other daemons together have running and waiting, and the paces that all saw, as last told. */
 
-import type { Asked } from '../../core/gateway/room';
+import type { OfferedLoad } from '../../core/gateway/capacity';
 import { later } from '../../core/ids';
 import type { InstanceId, ModelId } from '../../core/ids';
 import type { GatewayContext } from './context';
@@ -25,7 +25,7 @@
   /** How many times slower than usual a group is, as all saw it. */
   pace(head: InstanceId): number;
   /** Requests of the others that wait for a model, and those that come to them. */
-  offeredLoad(model: ModelId): Asked;
+  offeredLoad(model: ModelId): OfferedLoad;
 }
 
 /** The sum of all loads holds for so long: leaders tell it several times in that time. */
@@ -36,12 +36,12 @@
  */
 const KEPT_MS = 15_000;
 
-const NOTHING_ASKED: Asked = { waiting: 0, perSecond: 0 };
+const NOTHING_ASKED: OfferedLoad = { waiting: 0, perSecond: 0 };
 
 export function createPeerLoads({ clock }: GatewayContext): PeerLoads {
   let running: ReadonlyMap<InstanceId, readonly [count: number, unread: number]> = new Map();
   let paces: ReadonlyMap<InstanceId, number> = new Map();
-  let waiting: ReadonlyMap<string, Asked> = new Map();
+  let waiting: ReadonlyMap<string, OfferedLoad> = new Map();
   let knownUntil = clock.now();
   let keptUntil = clock.now();
 
--- a/src/app/gateway/plain-call.ts
+++ b/src/app/gateway/plain-call.ts
@@ -8,20 +8,26 @@
 import type { Answered, Upstream } from '../../adapters/upstream/upstream';
 import { choosePlain } from '../../core/gateway/balance';
 import type { PlainCandidate } from '../../core/gateway/balance';
-import { nameOf } from '../../core/gateway/routes';
+import { organisationNameOf } from '../../core/gateway/routes';
 import type { BackendServer } from '../../core/gateway/types';
 import { later } from '../../core/ids';
 import type { InstanceId, MonoTime, ServiceId } from '../../core/ids';
 import type { AnswerFacts, Dialect } from '../../ports/gateway';
 import { fail } from '../../utils/errors';
-import { minOrZero } from './allowances';
-import type { Throttle } from './allowances';
+import { minOrZero } from './throttle';
+import type { Throttle } from './throttle';
 import type { GatewayContext } from './context';
-import { endUnanswered, logRequestEnd, logFailedAttempt, backoffError, retryAfterDelay } from './exchange';
+import {
+  endUnanswered,
+  logRequestEnd,
+  logFailedAttempt,
+  backoffError,
+  retryAfterDelay,
+} from './exchange';
 import type { Exchange, Execution } from './exchange';
 import type { Retries } from './retries';
-import type { ServerRegistry } from './roster';
-import type { ServerNotices } from './statements';
+import type { ServerRegistry } from './server-registry';
+import type { ServerNotices } from './server-notices';
 
 export interface PlainDeps {
   readonly ctx: GatewayContext;
@@ -226,7 +232,7 @@
     AbortSignal.timeout(Math.ceil(Math.max(1, until - now))),
   ]);
   const { method = 'GET', url = '/', rawHeaders } = exchange.req;
-  const organisation = nameOf(exchange.caller);
+  const organisation = organisationNameOf(exchange.caller);
   const hasBody = exchange.body.length > 0 || exchange.req.headers['content-length'] !== undefined;
   const sent = await upstream.send({
     address: server.address,
--- a/src/app/gateway/rate-limits.ts
+++ b/src/app/gateway/rate-limits.ts
@@ -1,9 +1,15 @@
 /** What backend servers take a second, as all daemons share it, and this daemon's turns. */
 
 import * as knownLimits from '../../core/gateway/limits/known';
-import type { KnownLimits, Said, Told } from '../../core/gateway/limits/known';
-import { paceMs, refill, sendersOf, shareOf, turnInMs } from '../../core/gateway/limits/share';
-import type { Share, Turns } from '../../core/gateway/limits/share';
+import type { KnownLimits, LimitReport, LimitUpdate } from '../../core/gateway/limits/known';
+import {
+  requestIntervalMs,
+  refill,
+  sendersOf,
+  shareOf,
+  msUntilToken,
+} from '../../core/gateway/limits/share';
+import type { RateShare, ShareBucket } from '../../core/gateway/limits/share';
 import { later } from '../../core/ids';
 import type { DaemonId, InstanceId, MonoTime } from '../../core/ids';
 import { compareText } from '../../utils/common';
@@ -11,12 +17,12 @@
 
 export interface RateLimits {
   /** An answer of the server came. */
-  noteAnswer(server: InstanceId, said: Said): void;
-  applyReport(told: readonly Told[], source: string): void;
+  noteAnswer(server: InstanceId, said: LimitReport): void;
+  applyReport(told: readonly LimitUpdate[], source: string): void;
   /** What servers said to this daemon, for its peers. */
-  report(): Told[];
+  report(): LimitUpdate[];
   /** What servers said to anybody: all of it once a second and where it `isWanted`, else what has changed since the last call. */
-  reportToAll(isWanted: boolean): Told[];
+  reportToAll(isWanted: boolean): LimitUpdate[];
   /** Requests that this daemon may send to the server now; infinite where the server named no limit. */
   tokens(server: InstanceId): number;
   /** Takes a turn for a request that is being sent. */
@@ -34,13 +40,13 @@
   readonly daemons: () => readonly DaemonId[];
   readonly isRemoved: (server: InstanceId) => boolean;
   /** Tells other daemons at once, whether or not anybody leads. */
-  readonly publish: (daemons: readonly DaemonId[], told: Told[]) => void;
+  readonly publish: (daemons: readonly DaemonId[], told: LimitUpdate[]) => void;
 }
 
 interface Part {
   readonly limitPerS: number;
-  share: Share;
-  turns: Turns;
+  share: RateShare;
+  turns: ShareBucket;
   /** Whether there was a turn when it was last looked for. */
   hadTurn: boolean;
 }
@@ -68,11 +74,11 @@
 
   const listSharers = (): readonly DaemonId[] => [...daemons()].sort(compareText);
 
-  const shareIn = (server: InstanceId, limitPerS: number): Share =>
+  const shareIn = (server: InstanceId, limitPerS: number): RateShare =>
     shareOf({ server, limitPerS, self: settings.id, daemons: sharers });
 
-  const logShare = (server: InstanceId, limitPerS: number, { perSecond }: Share): void => {
-    const heardAt = known.get(server)?.heardAt ?? clock.now();
+  const logShare = (server: InstanceId, limitPerS: number, { perSecond }: RateShare): void => {
+    const heardAt = known.get(server)?.receivedAt ?? clock.now();
     logger.info('share of a limit', {
       step: 'limit',
       server,
@@ -87,7 +93,7 @@
     const before = parts.get(server);
     const now = clock.now();
     const share = shareIn(server, limitPerS);
-    const turns = before ? refill(before.turns, before.share, now) : { saved: 0, at: now };
+    const turns = before ? refill(before.turns, before.share, now) : { tokens: 0, at: now };
     if (before?.share.perSecond !== share.perSecond) logShare(server, limitPerS, share);
     parts.set(server, { limitPerS, share, turns, hadTurn: false });
   };
@@ -130,14 +136,14 @@
     );
     senders.delete(settings.id);
     if (senders.size === 0 || senders.size > MOST_TOLD_AT_ONCE) return;
-    const told = knownLimits.tell(known, clock.now()).filter(([one]) => one === server);
+    const told = knownLimits.listLimitUpdates(known, clock.now()).filter(([one]) => one === server);
     tell([...senders], told);
   };
 
   const lookUpDaemons = (now: MonoTime): void => {
     if (now < lookAt || known.size === 0) return;
     lookAt = later(now, DAEMONS_MS);
-    apply(knownLimits.forget(known, isGone, now), 'forgotten');
+    apply(knownLimits.pruneLimits(known, isGone, now), 'forgotten');
     const found = listSharers();
     if (found.join(' ') === sharers.join(' ')) return;
     sharers = found;
@@ -152,7 +158,7 @@
 
   const turns = (server: InstanceId): number => {
     const part = partOf(server);
-    return part ? Math.floor(part.turns.saved) : Infinity;
+    return part ? Math.floor(part.turns.tokens) : Infinity;
   };
 
   return {
@@ -163,15 +169,15 @@
       if (after !== before) tellSenders(server, [before, after]);
     },
     applyReport: (told, source) => {
-      apply(knownLimits.takeTold(known, told, clock.now()), source);
+      apply(knownLimits.mergeLimitUpdates(known, told, clock.now()), source);
     },
-    report: () => knownLimits.tell(known, clock.now()),
+    report: () => knownLimits.listLimitUpdates(known, clock.now()),
     reportToAll: (isWanted) => {
       const now = clock.now();
-      const all = knownLimits.tell(known, now, { ofAll: true });
+      const all = knownLimits.listLimitUpdates(known, now, { ofAll: true });
       const isDue = isWanted || now >= tellAllAt;
       if (isDue) tellAllAt = later(now, TELL_ALL_MS);
-      const isNews = ([server]: Told): boolean =>
+      const isNews = ([server]: LimitUpdate): boolean =>
         known.get(server)?.perSecond !== toldLast.get(server)?.perSecond;
       const told = isDue ? all : all.filter(isNews);
       toldLast = known;
@@ -181,17 +187,17 @@
     takeToken: (server) => {
       const part = partOf(server);
       if (!part) return;
-      part.turns = { ...part.turns, saved: part.turns.saved - 1 };
+      part.turns = { ...part.turns, tokens: part.turns.tokens - 1 };
       ctx.metrics.count('nutmegstack_limited_sends_total');
     },
     msUntilToken: (server) => {
       const part = partOf(server);
-      return part ? turnInMs(part.turns, part.share) : 0;
+      return part ? msUntilToken(part.turns, part.share) : 0;
     },
     msUntilAccepted: (server) => {
       const part = partOf(server);
       if (!part) return 0;
-      return Math.min(turnInMs(part.turns, part.share), paceMs(part.limitPerS));
+      return Math.min(msUntilToken(part.turns, part.share), requestIntervalMs(part.limitPerS));
     },
     tick: () => {
       lookUpDaemons(clock.now());
--- a/src/app/gateway/retries.ts
+++ b/src/app/gateway/retries.ts
@@ -25,7 +25,7 @@
     const { retryRatio, retrySlack, retryWindowMs } = ctx.tunables.value;
     return {
       ratio: retryRatio * USED_SHARE,
-      carriedRatio: retryRatio * CARRIED_SHARE,
+      burstRatio: retryRatio * CARRIED_SHARE,
       slack: retrySlack * USED_SHARE,
       windowMs: retryWindowMs,
       daemons: daemons(),
--- a/src/app/gateway/route-times.ts
+++ b/src/app/gateway/route-times.ts
@@ -1,9 +1,9 @@
 /** How long requests of each route took of late: to their first event, and with a place in all. */
 
 import { noteFirstEvent, slackMs } from '../../core/gateway/first-event';
-import type { FirstEvents } from '../../core/gateway/first-event';
+import type { FirstEventStats } from '../../core/gateway/first-event';
 import type { Route } from '../../core/gateway/types';
-import { noteHold } from '../../core/gateway/waiting-order';
+import { smoothHoldMs } from '../../core/gateway/waiting-order';
 
 export interface RouteTimes {
   /** A group took so long from the arrival of a request to its first event, milliseconds. */
@@ -17,14 +17,14 @@
 }
 
 export function createRouteTimes(): RouteTimes {
-  const firstEvents = new Map<string, FirstEvents>();
+  const firstEvents = new Map<string, FirstEventStats>();
   const holds = new Map<string, number>();
   return {
     noteFirstEvent: ({ name }, ms) => {
       firstEvents.set(name, noteFirstEvent(firstEvents.get(name), ms));
     },
     noteHold: ({ name }, ms) => {
-      holds.set(name, noteHold(holds.get(name), ms));
+      holds.set(name, smoothHoldMs(holds.get(name), ms));
     },
     holdMs: ({ name }) => holds.get(name) ?? 0,
     slackMs: ({ name, targetMs }) => slackMs(firstEvents.get(name), targetMs),
--- a/src/app/gateway/server-notices.ts
+++ b/src/app/gateway/server-notices.ts
@@ -4,10 +4,10 @@
 
 import type { InstanceId, MonoTime } from '../../core/ids';
 import type { AnswerFacts, Dialect, ServerHead } from '../../ports/gateway';
-import type { Throttle } from './allowances';
+import type { Throttle } from './throttle';
 import type { GatewayContext } from './context';
-import type { LeavingServers } from './leaving';
-import type { RateLimits } from './limits';
+import type { LeavingServers } from './leaving-servers';
+import type { RateLimits } from './rate-limits';
 
 export interface ServerNotices {
   /** Reads the head of an answer of the server; `sentAt`: when its request was sent. */
--- a/src/app/gateway/server-registry.ts
+++ b/src/app/gateway/server-registry.ts
@@ -12,8 +12,8 @@
 import { Subject } from 'rxjs';
 import type { Observable } from 'rxjs';
 
-import { reaches } from '../../core/gateway/news';
-import type { News } from '../../core/gateway/news';
+import { canContinueFrom } from '../../core/gateway/collection-updates';
+import type { CollectionUpdate } from '../../core/gateway/collection-updates';
 import type { BackendServer } from '../../core/gateway/types';
 import { later } from '../../core/ids';
 import type { InstanceId, MonoTime } from '../../core/ids';
@@ -30,7 +30,7 @@
 /** Entries of servers that are gone are remembered for this long: as long as a cut from the store is likely to last. */
 const LAPSED_MS = 60_000;
 
-export type ServerUpdates = News<BackendServer>;
+export type ServerUpdates = CollectionUpdate<BackendServer>;
 
 export interface ServerRegistry {
   /** Last known entries of servers whose entries are gone. Some of them live and serve on. */
@@ -268,7 +268,12 @@
     },
     applyUpdates: ({ since, upTo, changes: list }) => {
       const known = watch.position();
-      if (!isLater(known, ORIGIN_POSITION) || !reaches(known, since) || !isLater(upTo, known)) return;
+      if (
+        !isLater(known, ORIGIN_POSITION) ||
+        !canContinueFrom(known, since) ||
+        !isLater(upTo, known)
+      )
+        return;
       watch.skipTo(upTo);
       changedAt = latest(changedAt, upTo);
       told = upTo;
--- a/src/app/gateway/slot-admission.ts
+++ b/src/app/gateway/slot-admission.ts
@@ -2,22 +2,22 @@
 
 import type { GroupCandidate } from '../../core/gateway/balance';
 import {
-  accessTo,
-  expectDemand,
-  grantPlaces,
-  lateShare,
+  slotAccessFor,
+  expectLoad,
+  grantSlots,
+  lateQuota,
   onTimeShare,
-} from '../../core/gateway/room';
-import type { Access, Asked, RoomDemand } from '../../core/gateway/room';
-import { noteHold } from '../../core/gateway/waiting-order';
+} from '../../core/gateway/capacity';
+import type { SlotAccess, OfferedLoad, Contention } from '../../core/gateway/capacity';
+import { smoothHoldMs } from '../../core/gateway/waiting-order';
 import { later } from '../../core/ids';
 import type { InstanceId, ModelId, MonoTime } from '../../core/ids';
 import type { GatewayContext } from './context';
 
 /** Requests of a model, here and on the other daemons. */
 export interface ModelOfferedLoad {
-  readonly here: Asked;
-  readonly elsewhere: Asked;
+  readonly here: OfferedLoad;
+  readonly elsewhere: OfferedLoad;
   /** Time that one can wait for a place and still be on time, milliseconds. */
   readonly slackMs: number;
   /** Whether the request that wants a place has waited for longer. */
@@ -67,21 +67,21 @@
     granted.set(head, (granted.get(head) ?? 0) + by);
   };
 
-  const grant = (model: ModelId, groups: readonly GroupCandidate[], demand: RoomDemand): void => {
+  const grant = (model: ModelId, groups: readonly GroupCandidate[], demand: Contention): void => {
     if (lateLeft.has(model)) return;
-    lateLeft.set(model, lateShare(demand, random.next()));
-    const free = groups.map(({ head, freePlaces }) => ({
+    lateLeft.set(model, lateQuota(demand, random.next()));
+    const free = groups.map(({ head, freeSlots: freePlaces }) => ({
       head,
       // Places that own streams gave back are this daemon's already.
       places: Math.max(0, freePlaces - (granted.get(head) ?? 0)),
     }));
-    for (const [head, places] of grantPlaces(free, onTimeShare(demand), random.next())) {
+    for (const [head, places] of grantSlots(free, onTimeShare(demand), random.next())) {
       add(head, places);
     }
   };
 
   const ADMIT: Readonly<
-    Record<Access, (model: ModelId, groups: readonly GroupCandidate[]) => Admission>
+    Record<SlotAccess, (model: ModelId, groups: readonly GroupCandidate[]) => Admission>
   > = {
     all: (_, groups) => ({ groups, noteSent: ignore }),
     granted: (_, groups) => ({
@@ -116,21 +116,21 @@
       add(head, 1);
     },
     noteHold: (model, holdMs) => {
-      holds.set(model, noteHold(holds.get(model), holdMs));
+      holds.set(model, smoothHoldMs(holds.get(model), holdMs));
     },
     holdMs: (model) => holds.get(model),
     slackMs: (model) => slacks.get(model),
     grantedSlots: (head) => granted.get(head) ?? 0,
     admit: (model, groups, { here, elsewhere, slackMs, isLate }) => {
-      slacks.set(model, noteHold(slacks.get(model), slackMs));
+      slacks.set(model, smoothHoldMs(slacks.get(model), slackMs));
       const ages = { agedMs, slackMs };
-      const demand: RoomDemand = {
-        room: groups.reduce((sum, { room }) => sum + room, 0),
-        here: expectDemand({ ...here, waiting: Math.max(1, here.waiting) }, ages),
-        elsewhere: expectDemand(elsewhere, ages),
+      const demand: Contention = {
+        freeCapacity: groups.reduce((sum, { freeCapacity: room }) => sum + room, 0),
+        local: expectLoad({ ...here, waiting: Math.max(1, here.waiting) }, ages),
+        remote: expectLoad(elsewhere, ages),
       };
       grant(model, groups, demand);
-      return ADMIT[accessTo(demand, isLate)](model, groups);
+      return ADMIT[slotAccessFor(demand, isLate)](model, groups);
     },
   };
 }
--- a/src/app/gateway/stall-detector.ts
+++ b/src/app/gateway/stall-detector.ts
@@ -1,6 +1,6 @@
 /** Tells a group that stands still from one whose events this process has not read yet. */
 
-import { stalledAt, stalledBesideOthersAt } from '../../core/gateway/progress';
+import { stalledAt, sharedGroupStalledAt } from '../../core/gateway/progress';
 import type { Progress } from '../../core/gateway/progress';
 import { later } from '../../core/ids';
 import type { Clock } from '../../ports/runtime';
@@ -41,13 +41,16 @@
       if (now >= later(tickedAt, HELD_UP_MS)) heldUpUntil = now;
       tickedAt = now;
     },
-    detect: (last, { usualMs, readingMs, running, hasPeerLoads: knowsOthers, runningOnPeers: elsewhere }) => {
+    detect: (
+      last,
+      { usualMs, readingMs, running, hasPeerLoads: knowsOthers, runningOnPeers: elsewhere },
+    ) => {
       const now = clock.now();
       // Events that came while this process did not run are not read yet.
       const seen = last.since < heldUpUntil ? { ...last, since: heldUpUntil } : last;
       const isShared = !knowsOthers || elsewhere >= SHARED_AT;
       const at = isShared
-        ? stalledBesideOthersAt(seen, usualMs, readingMs, knowsOthers)
+        ? sharedGroupStalledAt(seen, usualMs, readingMs, knowsOthers)
         : stalledAt(seen, usualMs, readingMs);
       if (at === undefined || now < at) return undefined;
       const silentMs = Math.round(now - seen.since);
--- a/src/app/gateway/stall-reporting.ts
+++ b/src/app/gateway/stall-reporting.ts
@@ -3,14 +3,14 @@
  * is sent to such a group, its streams are moved, and the leader asks its members.
  */
 
-import { isConfirmed, noteWitness } from '../../core/gateway/witnesses';
-import type { Witnesses } from '../../core/gateway/witnesses';
+import { isStallConfirmed, noteStallReport } from '../../core/gateway/stall-quorum';
+import type { StallReports } from '../../core/gateway/stall-quorum';
 import type { DaemonId, InstanceId, MonoTime } from '../../core/ids';
 import { later } from '../../core/ids';
-import type { GroupRegistry, Stall } from './board';
+import type { GroupRegistry, Stall } from './group-registry';
 import type { GatewayContext } from './context';
 import type { Fleet } from './fleet';
-import type { GroupPlanner } from './former';
+import type { GroupPlanner } from './group-planner';
 import type { Leadership } from './lease';
 import type { StallFinding, PeerState } from './messages';
 
@@ -35,8 +35,14 @@
 /** Older events say nothing of a group any more. */
 const EVENT_MEMORY_MS = 10_000;
 
-export function createStallReporting({ ctx, board, fleet, planner: former, leadership }: StallReportingDeps): StallReporting {
-  let witnesses: Witnesses = new Map();
+export function createStallReporting({
+  ctx,
+  board,
+  fleet,
+  planner: former,
+  leadership,
+}: StallReportingDeps): StallReporting {
+  let witnesses: StallReports = new Map();
   /** When groups last gave an event to a peer, by head. */
   const lastEvents = new Map<InstanceId, MonoTime>();
 
@@ -56,11 +62,11 @@
   const noteSeen = (stall: Stall, reporter: DaemonId): void => {
     const now = ctx.clock.now();
     const { group, head } = stall;
-    witnesses = noteWitness(witnesses, group, reporter, now);
+    witnesses = noteStallReport(witnesses, group, reporter, now);
     // Where the others' loads are not known, they are taken to have many streams there.
     const running = board.hasPeerLoads() ? board.runningOnPeers(head) : UNKNOWN_RUNNING;
     const eventAt = latest(lastEvents.get(head), board.lastEventAt(head));
-    const isSure = isConfirmed(witnesses, group, { running, eventAt }, now);
+    const isSure = isStallConfirmed(witnesses, group, { running, eventAt }, now);
     ctx.logger.info('group seen silent', { step: 'stall', group, reporter, running, isSure });
     if (isSure) believe(stall, 'confirmed', `reported by ${reporter}`);
   };
--- a/src/app/gateway/stream-call.ts
+++ b/src/app/gateway/stream-call.ts
@@ -6,13 +6,13 @@
 import { merge } from 'rxjs';
 
 import type { Upstream } from '../../adapters/upstream/upstream';
-import { nameOf } from '../../core/gateway/routes';
+import { organisationNameOf } from '../../core/gateway/routes';
 import { later } from '../../core/ids';
 import type { InstanceId, ModelId, MonoTime } from '../../core/ids';
 import { fail } from '../../utils/errors';
-import type { Throttle } from './allowances';
-import type { GroupRegistry } from './board';
-import type { ServingGroup } from './directory';
+import type { Throttle } from './throttle';
+import type { GroupRegistry } from './group-registry';
+import type { ServingGroup } from './group-index';
 import {
   endUnanswered,
   logRequestEnd,
@@ -22,8 +22,8 @@
   retryAfterDelay,
 } from './exchange';
 import type { Exchange, RetryAfter, StreamTimes } from './exchange';
-import { takeSlot } from './placing';
-import type { SlotDeps } from './placing';
+import { takeSlot } from './take-slot';
+import type { SlotDeps } from './take-slot';
 import type { Retries } from './retries';
 import { createRouteTimes } from './route-times';
 import type { RouteTimes } from './route-times';
@@ -190,7 +190,10 @@
   }
   const takesInMs = board.msUntilAccepted(service, model);
   if (takesInMs === 0) return undefined;
-  return { reason: 'the groups of the model take no more now', retryAfter: retryAfterDelay(takesInMs) };
+  return {
+    reason: 'the groups of the model take no more now',
+    retryAfter: retryAfterDelay(takesInMs),
+  };
 }
 
 function endWithoutAnswer(
@@ -256,7 +259,7 @@
     if (stall.head === head.id) stop.abort(new Error('group stands still'));
   });
   try {
-    const organisation = nameOf(exchange.caller);
+    const organisation = organisationNameOf(exchange.caller);
     const { method = 'POST', url = '/', rawHeaders } = exchange.req;
     const sent = await upstream.send({
       address: head.address,
@@ -286,7 +289,15 @@
       }
       return 'not-sent';
     }
-    return await relay({ deps, exchange, group, state, answered: sent, stop: stop.signal, slot: place });
+    return await relay({
+      deps,
+      exchange,
+      group,
+      state,
+      answered: sent,
+      stop: stop.signal,
+      slot: place,
+    });
   } finally {
     clearTimeout(limit);
     exchange.gone.removeEventListener('abort', onGone);
--- a/src/app/gateway/stream-relay.ts
+++ b/src/app/gateway/stream-relay.ts
@@ -4,11 +4,11 @@
 import { createEventReader } from '../../core/gateway/events';
 import type { InstanceId, MonoTime } from '../../core/ids';
 import type { AnswerFacts, Dialect } from '../../ports/gateway';
-import type { GroupRegistry } from './board';
-import type { ServingGroup } from './directory';
+import type { GroupRegistry } from './group-registry';
+import type { ServingGroup } from './group-index';
 import type { GatewayContext } from './context';
 import type { Exchange, Execution } from './exchange';
-import type { ServerNotices } from './statements';
+import type { ServerNotices } from './server-notices';
 
 export interface RelayDeps {
   readonly ctx: GatewayContext;
@@ -56,7 +56,8 @@
 }
 
 /** How one attempt ended. */
-export type AttemptResult = 'complete' | 'passed-on' | 'not-sent' | 'not-run' | 'lost' | 'caller-gone';
+export type AttemptResult =
+  'complete' | 'passed-on' | 'not-sent' | 'not-run' | 'lost' | 'caller-gone';
 
 /** Why an attempt was stopped, where it was; else what its connection says. */
 export function abortReason(signal: AbortSignal, otherwise: string): string {
@@ -146,7 +147,7 @@
         }
         passed.push(bytes);
       }
-      if (reader.isOverfull()) {
+      if (reader.isEventTooLong()) {
         resolve('event too long');
         return;
       }
@@ -162,7 +163,7 @@
     };
     from.on('data', onChunk);
     from.on('end', () => {
-      if (!from.complete || reader.hasRest() || hasFailed()) resolve('stream broken off');
+      if (!from.complete || reader.hasPartialEvent() || hasFailed()) resolve('stream broken off');
       else {
         start();
         resolve(undefined);
--- a/src/app/gateway/take-slot.ts
+++ b/src/app/gateway/take-slot.ts
@@ -1,11 +1,11 @@
 /** Takes a place in a group for a stream. */
 
-import { chooseGroup, drawGroup, listOpen } from '../../core/gateway/balance';
+import { chooseGroup, pickWeightedGroup, listEligible } from '../../core/gateway/balance';
 import type { Arrivals } from './arrivals';
-import type { GroupRegistry, GroupNeeds } from './board';
+import type { GroupRegistry, GroupNeeds } from './group-registry';
 import type { GatewayContext } from './context';
-import type { ServingGroup } from './directory';
-import type { WaitQueue } from './waiting';
+import type { ServingGroup } from './group-index';
+import type { WaitQueue } from './wait-queue';
 
 export interface SlotDeps {
   readonly ctx: GatewayContext;
@@ -36,12 +36,12 @@
   const { model } = needs;
   const here = { waiting: waiting.count(model), perSecond: arrivals.rate(model) };
   const admission = board.admit(model, board.candidates(needs), { here, slackMs, isLate });
-  const open = listOpen(admission.groups, (head) => board.grantedSlots(head), promptTokens);
+  const open = listEligible(admission.groups, (head) => board.grantedSlots(head), promptTokens);
   const { zone } = ctx.settings;
   const random = (): number => ctx.random.next();
   const found =
     daemons() > FEW_DAEMONS
-      ? drawGroup(open, zone, random)
+      ? pickWeightedGroup(open, zone, random)
       : chooseGroup(open, promptTokens, zone, random());
   const group = found && board.find(found.head);
   if (!group) return undefined;
--- a/src/app/gateway/throttle.ts
+++ b/src/app/gateway/throttle.ts
@@ -1,10 +1,10 @@
 /** What this daemon may send to each backend server now, by all that the server said of itself. */
 
-import { noteRest, restLeftMs } from '../../core/gateway/rests';
-import type { Rests } from '../../core/gateway/rests';
+import { noteBackoff, backoffRemainingMs } from '../../core/gateway/server-backoff';
+import type { Backoffs } from '../../core/gateway/server-backoff';
 import type { InstanceId } from '../../core/ids';
 import type { GatewayContext } from './context';
-import type { RateLimits } from './limits';
+import type { RateLimits } from './rate-limits';
 
 export interface Throttle {
   /** Requests that may be sent to the server now; infinite where it said nothing of it. */
@@ -29,11 +29,11 @@
 }
 
 export function createThrottle({ clock, logger }: GatewayContext, limits: RateLimits): Throttle {
-  let rests: Rests = new Map();
+  let rests: Backoffs = new Map();
   /** Servers that rested when it was last looked. */
   let resting: ReadonlySet<InstanceId> = new Set();
 
-  const leftMs = (server: InstanceId): number => restLeftMs(rests, server, clock.now());
+  const leftMs = (server: InstanceId): number => backoffRemainingMs(rests, server, clock.now());
 
   const hasAnyEnded = (): boolean => {
     const before = resting;
@@ -50,7 +50,7 @@
     msUntilAccepted: (server) => Math.max(leftMs(server), limits.msUntilAccepted(server)),
     isBackingOff: (server) => leftMs(server) > 0,
     noteBackoff: (server, restMs) => {
-      const next = noteRest(rests, server, restMs, clock.now());
+      const next = noteBackoff(rests, server, restMs, clock.now());
       if (next === rests) return;
       rests = next;
       logger.info('server rests', { step: 'rest', server, restMs: Math.round(leftMs(server)) });
--- a/src/app/gateway/wait-queue.ts
+++ b/src/app/gateway/wait-queue.ts
@@ -3,8 +3,8 @@
 import { compareWaiting } from '../../core/gateway/waiting-order';
 import type { WaitingRequest } from '../../core/gateway/waiting-order';
 import type { ModelId, MonoTime } from '../../core/ids';
-import type { GroupRegistry } from './board';
-import type { ServingGroup } from './directory';
+import type { GroupRegistry } from './group-registry';
+import type { ServingGroup } from './group-index';
 import type { GatewayContext } from './context';
 
 export interface Waiter extends WaitingRequest {
--- a/src/app/gateway/watch.ts
+++ b/src/app/gateway/watch.ts
@@ -2,7 +2,7 @@
 
 import type { Result } from 'neverthrow';
 
-import { judgePoll, longestCallMs, planPoll } from '../../core/gateway/polling';
+import { checkPoll, maxCallMs, planPoll } from '../../core/gateway/polling';
 import { later } from '../../core/ids';
 import type { EpochTime, MonoTime } from '../../core/ids';
 import { isLater, latest, ORIGIN_POSITION } from '../../core/store-era';
@@ -65,7 +65,12 @@
 const VOUCHED_RETRY_SHARE = 0.3;
 
 export function watchFeed<T>(ctx: GatewayContext, options: WatchOptions<T>): Watch {
-  const { feed, apply: take, waitMs = () => DEFAULT_WAIT_MS, pausesWhenUnchanged: restsAlways = false } = options;
+  const {
+    feed,
+    apply: take,
+    waitMs = () => DEFAULT_WAIT_MS,
+    pausesWhenUnchanged: restsAlways = false,
+  } = options;
   const { nextPollAt: restUntil = (since: MonoTime) => later(since, DEFAULT_REST_MS) } = options;
   const { freshUntil: trustUntil = (now: MonoTime) => now } = options;
   let position = ORIGIN_POSITION;
@@ -126,7 +131,7 @@
     const delay = Math.min(longestRetryMs(), FIRST_RETRY_MS * 2 ** Math.min(failures, 8));
     ctx.store.noteFailure(feed.name);
     await pause(delay * (0.5 + ctx.random.next() / 2));
-    await ctx.store.waitForRetry(feed.name, longestCallMs(ctx.tunables.value.settleMs));
+    await ctx.store.waitForRetry(feed.name, maxCallMs(ctx.tunables.value.settleMs));
   };
 
   const rest = async (): Promise<void> => {
@@ -142,16 +147,16 @@
     const plan = planPoll({
       now: sentAt,
       settleMs,
-      wishedMs: waitMs(),
-      trustedUntil: trustUntil(sentAt),
+      preferredWaitMs: waitMs(),
+      freshUntil: trustUntil(sentAt),
       isFailing: failures > 0,
     });
     const looks = setInterval(() => {
       const now = ctx.clock.now();
       const answeredAt = ctx.store.answeredAt();
-      const verdict = judgePoll(plan, {
+      const verdict = checkPoll(plan, {
         now,
-        trustedUntil: trustUntil(now),
+        freshUntil: trustUntil(now),
         ...(answeredAt !== undefined && { answeredAt }),
       });
       if (verdict !== 'wait') cancel.abort(verdict);
--- a/src/app/gateway/work-log.ts
+++ b/src/app/gateway/work-log.ts
@@ -5,7 +5,7 @@
 import type { BackendServer } from '../../core/gateway/types';
 import { brandAs, later } from '../../core/ids';
 import type { InstanceId, ModelId, MonoTime } from '../../core/ids';
-import type { GroupRegistry } from './board';
+import type { GroupRegistry } from './group-registry';
 import type { GatewayContext } from './context';
 import { sumLoads } from './loads';
 import type { PeerState } from './messages';
--- a/src/app/requests/admission-gate.ts
+++ b/src/app/requests/admission-gate.ts
@@ -8,7 +8,12 @@
   release,
   setCapacity,
 } from '../../core/admission/admission';
-import type { AdmissionRequest, RefusalCode, Refused, QueueUpdate } from '../../core/admission/types';
+import type {
+  AdmissionRequest,
+  RefusalCode,
+  Refused,
+  QueueUpdate,
+} from '../../core/admission/types';
 import type { EpochTime, ModelId, MonoTime, RequestId } from '../../core/ids';
 import { later } from '../../core/ids';
 import type { Clock, Random } from '../../ports/runtime';
--- a/src/app/requests/admit.ts
+++ b/src/app/requests/admit.ts
@@ -7,7 +7,7 @@
 import { refusedEnding } from './ending';
 import type { Ending } from './ending';
 import type { Call } from './exchange';
-import type { GateRequest } from './gate';
+import type { GateRequest } from './admission-gate';
 import { NOOP_GUARD } from './guard';
 import { METRIC } from './names';
 
--- a/src/app/requests/at-most-once.ts
+++ b/src/app/requests/at-most-once.ts
@@ -14,7 +14,7 @@
 import type { SendGuard } from './guard';
 import { NOOP_GUARD } from './guard';
 import { pause } from './pause';
-import { replayAnswer, storeAnswer } from './stored';
+import { replayAnswer, storeAnswer } from './stored-answer';
 
 type NotHeld = Extract<ClaimVerdict, { kind: 'not-held' }>;
 
@@ -49,7 +49,11 @@
     ? 'the request with this key is under way'
     : 'the request with this key was sent, and no answer is known';
   const error = fail('in-progress', message, { step: 'claim', peer: row.holder });
-  return failedEnding({ error, exposure: 'exposed', retryAt: isUnderWay ? comeBack(ctx) : undefined });
+  return failedEnding({
+    error,
+    exposure: 'exposed',
+    retryAt: isUnderWay ? comeBack(ctx) : undefined,
+  });
 }
 
 function answerExisting(ctx: RequestContext, call: Call, row: ClaimRow): Promise<Ending> {
--- a/src/app/requests/claim-writer.ts
+++ b/src/app/requests/claim-writer.ts
@@ -111,7 +111,8 @@
   let isRunning = false;
   let bucket: CommitBucket = { tokens: 1, at: clock.now() };
 
-  const share = (): CommitRate => commitRateOf(opts.commitsPerSecond, opts.claimShare, opts.daemons());
+  const share = (): CommitRate =>
+    commitRateOf(opts.commitsPerSecond, opts.claimShare, opts.daemons());
 
   /** The next group: no key twice, none that waited too long. */
   const takeGroup = (): readonly Queued[] => {
--- a/src/app/requests/entry.ts
+++ b/src/app/requests/entry.ts
@@ -31,7 +31,7 @@
 import type { ServiceCall } from './service-call';
 import { isRepeatable, readServicePath } from './service-path';
 import type { ServicePath } from './service-path';
-import { authenticate, readCallOptions } from './terms';
+import { authenticate, readCallOptions } from './call-options';
 
 /** First guess at the time of a call to a plain service, milliseconds. */
 const SERVICE_ESTIMATE_MS = 50;
@@ -81,7 +81,11 @@
   return ok({ exchange, caller, terms: terms.value, method, path, body: body.value });
 }
 
-async function routeModel(entry: RequestPlane, exchange: Exchange, caller: Caller): Promise<Ending> {
+async function routeModel(
+  entry: RequestPlane,
+  exchange: Exchange,
+  caller: Caller,
+): Promise<Ending> {
   const path = pathOf(exchange.req) as ModelPath;
   const call = await readCall(entry, exchange, caller, path, true);
   if (call.isErr()) return refusedEnding(call.error);
--- a/src/app/requests/model-answer.ts
+++ b/src/app/requests/model-answer.ts
@@ -16,14 +16,14 @@
 import { readBody } from './body';
 import type { RequestContext } from './context';
 import { doneEnding } from './ending';
-import type { GroupSelector } from './group-choice';
+import type { GroupSelector } from './group-selector';
 import type { SendGuard } from './guard';
 import type { ModelCall } from './model-request';
 import { EVENT_STREAM, HEADER, METRIC } from './names';
 import { relayStream } from './relay';
 import { startStream } from './reply';
 import type { Strikes } from './strikes';
-import { checkBufferedAnswer } from './whole';
+import { checkBufferedAnswer } from './buffered-answer';
 
 const MAX_REFUSAL_BYTES = 64 * 1024;
 const STATUS = { conflict: 409, unavailable: 503, errorsOfOurs: 400, errorsOfTheirs: 500 };
@@ -128,7 +128,10 @@
   if (fault !== undefined) return badAnswer(attempt, `not a whole answer: ${fault}`);
   observeFirst(attempt);
   const headers = { 'content-type': 'application/json' };
-  return { kind: 'done', ending: doneEnding({ kind: 'whole', status: 200, headers, body: body.value }) };
+  return {
+    kind: 'done',
+    ending: doneEnding({ kind: 'whole', status: 200, headers, body: body.value }),
+  };
 }
 
 /** One gap in so many is recorded, which keeps the cost per chunk down and the sample fair. */
--- a/src/app/requests/request-parts.ts
+++ b/src/app/requests/request-parts.ts
@@ -2,8 +2,8 @@
 
 import type { Backends } from './backends';
 import type { Claims } from './claims';
-import type { AdmissionGate } from './gate';
-import type { GroupSelector } from './group-choice';
+import type { AdmissionGate } from './admission-gate';
+import type { GroupSelector } from './group-selector';
 import type { Strikes } from './strikes';
 
 /** The parts of the request plane that keep state. */
--- a/src/app/shutdown.ts
+++ b/src/app/shutdown.ts
@@ -39,7 +39,13 @@
 }
 
 /** Unready, wait for the balancer, refuse new work, finish what runs, hand back, stop. */
-async function run({ settings, parts, listeners: listening, logger, ...deps }: ShutdownDeps): Promise<void> {
+async function run({
+  settings,
+  parts,
+  listeners: listening,
+  logger,
+  ...deps
+}: ShutdownDeps): Promise<void> {
   logger.info('stopping', { step: 'drain' });
   // Roles move to the other daemons while the streams here finish.
   parts.membership.leave();
--- a/src/core/admission/held.ts
+++ b/src/core/admission/held.ts
@@ -9,7 +9,14 @@
 import type { AdmissionPolicy } from './policies';
 import { countArrival, removeQueued, nextQueued, takeSlot } from './pool';
 import { refuse } from './refusal';
-import type { AdmissionState, Entry, Pool, RefusalReason, RefusedRequest, QueueUpdate } from './types';
+import type {
+  AdmissionState,
+  Entry,
+  Pool,
+  RefusalReason,
+  RefusedRequest,
+  QueueUpdate,
+} from './types';
 
 export function track(
   state: AdmissionState,
@@ -28,7 +35,11 @@
 }
 
 /** Wait of a request that would join now. */
-export function estimatedWaitMs({ opts }: AdmissionState, entry: Entry, { now }: RandomContext): number {
+export function estimatedWaitMs(
+  { opts }: AdmissionState,
+  entry: Entry,
+  { now }: RandomContext,
+): number {
   return joinWaitMs(entry, { now, opts });
 }
 
@@ -77,7 +88,11 @@
 }
 
 /** Gives up queued requests for which capacity will not be back in time. */
-export function refuseWithoutCapacity(state: AdmissionState, pool: Pool, ctx: RandomContext): QueueUpdate {
+export function refuseWithoutCapacity(
+  state: AdmissionState,
+  pool: Pool,
+  ctx: RandomContext,
+): QueueUpdate {
   const { expectedAt } = pool;
   const refused: RefusedRequest[] = [];
   for (let entry = peek(pool.byStartBy); entry !== undefined; entry = peek(pool.byStartBy)) {
--- a/src/core/admission/shedding.ts
+++ b/src/core/admission/shedding.ts
@@ -52,11 +52,7 @@
 ): void {
   if (added.pool.slots === 0) return;
   const { queue } = added.account;
-  for (
-    let entry = lastBucketHead(queue);
-    entry !== undefined;
-    entry = lastBucketHead(queue)
-  ) {
+  for (let entry = lastBucketHead(queue); entry !== undefined; entry = lastBucketHead(queue)) {
     const startAt =
       ctx.now + queuedWaitMs(entry, { now: ctx.now, opts: state.opts }) * state.opts.waitSafety;
     if (entry === added || startAt <= entry.startBy) return;
--- a/src/core/config/scope.ts
+++ b/src/core/config/scope.ts
@@ -59,7 +59,11 @@
  * either the whole document or what {@link scopeDocument} showed; undefined if anything else
  * differs.
  */
-export function mergeOwnParameters(current: Json, submitted: Json, organisation: string): Json | undefined {
+export function mergeOwnParameters(
+  current: Json,
+  submitted: Json,
+  organisation: string,
+): Json | undefined {
   const allowed = [current, scopeDocument(current, organisation)].some(
     (base) =>
       withoutOrganisation(base, organisation) === withoutOrganisation(submitted, organisation),
--- a/src/core/gateway/balance.ts
+++ b/src/core/gateway/balance.ts
@@ -10,13 +10,13 @@
   readonly running: number;
   readonly batchSize: number;
   /** Requests that it can take without holding up those that it has. */
-  readonly room: number;
+  readonly freeCapacity: number;
   /** The part of its room that is free now, departures not counted. */
-  readonly freePlaces: number;
+  readonly freeSlots: number;
   /** Prompt tokens in it that wait to be read. */
-  readonly unread: number;
+  readonly pendingPrefill: number;
   /** Prompt tokens that may wait without holding up the events of others for too long. */
-  readonly maxUnread: number;
+  readonly maxPendingPrefill: number;
   /** Above 1: so many times slower than the published figures. */
   readonly slowdown: number;
   /** Already tried for this request. */
@@ -25,13 +25,13 @@
 
 export interface GroupChoiceOptions {
   /** Load of a group in another zone counts this much more: bytes between zones cost. */
-  readonly otherZone: number;
+  readonly otherZonePenalty: number;
   /** What a full measure of unread prompts counts, in batches. */
-  readonly unreadWeight: number;
+  readonly prefillWeight: number;
   /** A group that is so many times slower misses the latency objective of most requests. */
-  readonly slowAt: number;
+  readonly slowThreshold: number;
   /** What such a group counts more than a quick one, in batches: it is taken where no other has room. */
-  readonly slowWeight: number;
+  readonly slowPenalty: number;
 }
 
 /**
@@ -39,47 +39,50 @@
  * a slightly fuller group gives its events hardly later.
  */
 export const GROUP_CHOICE_DEFAULTS: GroupChoiceOptions = {
-  otherZone: 0.15,
-  unreadWeight: 0.5,
-  slowAt: 1.9,
-  slowWeight: 1,
+  otherZonePenalty: 0.15,
+  prefillWeight: 0.5,
+  slowThreshold: 1.9,
+  slowPenalty: 1,
 };
 
 /** Whether the prompt can be read without holding up the events of others for too long. */
-export function mayRead(
-  { unread, maxUnread }: Pick<GroupCandidate, 'unread' | 'maxUnread'>,
+export function canPrefill(
+  {
+    pendingPrefill: unread,
+    maxPendingPrefill: maxUnread,
+  }: Pick<GroupCandidate, 'pendingPrefill' | 'maxPendingPrefill'>,
   prompt: number,
 ): boolean {
   return unread === 0 || unread + prompt <= maxUnread;
 }
 
-export function hasRoom(
-  group: Pick<GroupCandidate, 'room' | 'unread' | 'maxUnread'>,
+export function hasCapacity(
+  group: Pick<GroupCandidate, 'freeCapacity' | 'pendingPrefill' | 'maxPendingPrefill'>,
   prompt: number,
 ): boolean {
-  return group.room >= 1 && mayRead(group, prompt);
+  return group.freeCapacity >= 1 && canPrefill(group, prompt);
 }
 
 /** Whether the group is so slow that most requests in it miss their objective. */
 function isSlow({ slowdown }: GroupCandidate): boolean {
-  return slowdown >= GROUP_CHOICE_DEFAULTS.slowAt;
+  return slowdown >= GROUP_CHOICE_DEFAULTS.slowThreshold;
 }
 
 /**
  * The groups that a request may be sent to: quick ones in which the daemon has places to itself, as many as
  * `granted` tells, otherwise all that have room.
  */
-export function listOpen(
+export function listEligible(
   candidates: readonly GroupCandidate[],
   granted: (head: InstanceId) => number,
   promptTokens: number,
 ): readonly GroupCandidate[] {
-  const readable = candidates.filter((one) => !one.isTried && mayRead(one, promptTokens));
+  const readable = candidates.filter((one) => !one.isTried && canPrefill(one, promptTokens));
   const own = readable.flatMap((one) => {
-    const room = granted(one.head);
-    return room < 1 || isSlow(one) ? [] : [{ ...one, room }];
+    const slots = granted(one.head);
+    return slots < 1 || isSlow(one) ? [] : [{ ...one, freeCapacity: slots }];
   });
-  return own.length > 0 ? own : readable.filter(({ room }) => room >= 1);
+  return own.length > 0 ? own : readable.filter(({ freeCapacity: room }) => room >= 1);
 }
 
 /** Groups that are drawn, of which one in the own zone is taken. */
@@ -96,14 +99,14 @@
  * proportion to its room each group gets what it can take (Dahlin, "Interpreting Stale Load Information",
  * 2000).
  */
-export function drawGroup(
+export function pickWeightedGroup(
   candidates: readonly GroupCandidate[],
   zone: ZoneId,
   random: () => number,
-  { slowAt }: GroupChoiceOptions = GROUP_CHOICE_DEFAULTS,
+  { slowThreshold: slowAt }: GroupChoiceOptions = GROUP_CHOICE_DEFAULTS,
 ): GroupCandidate | undefined {
   const weights = candidates.map(
-    ({ room, slowdown }) => (room / slowdown) * (slowdown >= slowAt ? SLOW_SHARE : 1),
+    ({ freeCapacity: room, slowdown }) => (room / slowdown) * (slowdown >= slowAt ? SLOW_SHARE : 1),
   );
   const total = weights.reduce((sum, weight) => sum + weight, 0);
   const draw = (): GroupCandidate | undefined => {
@@ -134,11 +137,17 @@
   const offset = Math.floor(chance * candidates.length);
   for (let i = 0; i < candidates.length; i++) {
     const candidate = candidates[(i + offset) % candidates.length];
-    if (!candidate || candidate.isTried || !hasRoom(candidate, promptTokens)) continue;
-    const { running, batchSize, slowdown, unread, maxUnread } = candidate;
-    const away = candidate.zone === zone ? 0 : options.otherZone;
-    const filled = (running + 1) / batchSize + (options.unreadWeight * unread) / maxUnread;
-    const slow = slowdown >= options.slowAt ? options.slowWeight : 0;
+    if (!candidate || candidate.isTried || !hasCapacity(candidate, promptTokens)) continue;
+    const {
+      running,
+      batchSize,
+      slowdown,
+      pendingPrefill: unread,
+      maxPendingPrefill: maxUnread,
+    } = candidate;
+    const away = candidate.zone === zone ? 0 : options.otherZonePenalty;
+    const filled = (running + 1) / batchSize + (options.prefillWeight * unread) / maxUnread;
+    const slow = slowdown >= options.slowThreshold ? options.slowPenalty : 0;
     const score = filled * slowdown + slow + away;
     if (score < bestScore) [best, bestScore] = [candidate, score];
   }
--- a/src/core/gateway/capacity.ts
+++ b/src/core/gateway/capacity.ts
@@ -15,7 +15,7 @@
 import type { InstanceId } from '../ids';
 
 /** What a group can take, as a daemon sees it. */
-export interface GroupRoom {
+export interface GroupCapacity {
   readonly running: number;
   readonly batchSize: number;
   /** Requests beyond its places that it may have. */
@@ -23,12 +23,12 @@
   /** Requests that will have ended when loads are heard of again. */
   readonly departing: number;
   /** Prompt tokens in it that wait to be read, and how many may. */
-  readonly unread: number;
-  readonly maxUnread: number;
+  readonly pendingPrefill: number;
+  readonly maxPendingPrefill: number;
   /** Tokens of a usual prompt. */
-  readonly usualPrompt: number;
+  readonly meanPromptTokens: number;
   /** Usual prompts that are read until loads are heard of again. */
-  readonly readMeanwhile: number;
+  readonly prefillsUntilUpdate: number;
 }
 
 /** Part of the time that requests may wait for a place which they may spend in a group's own queue. */
@@ -45,13 +45,13 @@
  * Requests that may stand in a group beyond its places, so that a place which becomes free is taken at once:
  * as many as reach a place within a part of their slack.
  */
-export function mostQueued(batchSize: number, { slackMs, holdMs }: QueueTimes): number {
+export function maxQueued(batchSize: number, { slackMs, holdMs }: QueueTimes): number {
   return Math.round((batchSize * QUEUED_PART * slackMs) / Math.max(1, slackMs, holdMs));
 }
 
 /** Requests of the group that end within `ms`, where each holds its place for `holdMs` on average. */
 export function departuresIn(
-  { running, batchSize }: Pick<GroupRoom, 'running' | 'batchSize'>,
+  { running, batchSize }: Pick<GroupCapacity, 'running' | 'batchSize'>,
   ms: number,
   holdMs: number,
 ): number {
@@ -59,14 +59,16 @@
 }
 
 /** Requests that the group can take without holding up those that it has. */
-export function roomIn(group: GroupRoom): number {
+export function freeCapacityOf(group: GroupCapacity): number {
   const places = group.batchSize + group.queued - group.running + group.departing;
-  const prompts = (group.maxUnread - group.unread) / group.usualPrompt + group.readMeanwhile;
+  const prompts =
+    (group.maxPendingPrefill - group.pendingPrefill) / group.meanPromptTokens +
+    group.prefillsUntilUpdate;
   return Math.max(0, Math.min(places, Math.ceil(prompts)));
 }
 
 /** What is asked for of a model: requests that wait, and new ones a second. */
-export interface Asked {
+export interface OfferedLoad {
   readonly waiting: number;
   readonly perSecond: number;
 }
@@ -74,31 +76,34 @@
 const MS_PER_S = 1_000;
 
 /** Requests that want a place, those that wait and those that come until loads are heard of again. */
-export interface Demand {
+export interface ExpectedLoad {
   readonly onTime: number;
   readonly late: number;
 }
 
 /** Of those that wait, only the arrivals of the last `slackMs` can still be on time. */
-export function expectDemand(
-  { waiting, perSecond }: Asked,
+export function expectLoad(
+  { waiting, perSecond }: OfferedLoad,
   { agedMs, slackMs }: { readonly agedMs: number; readonly slackMs: number },
-): Demand {
+): ExpectedLoad {
   const onTime = Math.min(waiting, (perSecond * slackMs) / MS_PER_S);
   return { onTime: onTime + (perSecond * agedMs) / MS_PER_S, late: waiting - onTime };
 }
 
 /** What a request may use: all room, places that its daemon was granted, or what the others leave. */
-export type Access = 'all' | 'granted' | 'surplus';
+export type SlotAccess = 'all' | 'granted' | 'surplus';
 
-export interface RoomDemand {
+export interface Contention {
   /** In all groups of the model, with the departures that are expected. */
-  readonly room: number;
-  readonly here: Demand;
-  readonly elsewhere: Demand;
+  readonly freeCapacity: number;
+  readonly local: ExpectedLoad;
+  readonly remote: ExpectedLoad;
 }
 
-export function accessTo({ room, here, elsewhere }: RoomDemand, isLate: boolean): Access {
+export function slotAccessFor(
+  { freeCapacity: room, local: here, remote: elsewhere }: Contention,
+  isLate: boolean,
+): SlotAccess {
   const onTime = here.onTime + elsewhere.onTime;
   if (onTime + here.late + elsewhere.late <= room) return 'all';
   if (isLate) return 'surplus';
@@ -106,20 +111,23 @@
 }
 
 /** Late requests that this daemon may send until loads are heard of again; `lot` decides on the fraction. */
-export function lateShare({ room, here, elsewhere }: RoomDemand, lot: number): number {
+export function lateQuota(
+  { freeCapacity: room, local: here, remote: elsewhere }: Contention,
+  lot: number,
+): number {
   const surplus = Math.max(0, room - here.onTime - elsewhere.onTime);
   const late = here.late + elsewhere.late;
   return late === 0 ? 0 : Math.floor((surplus * here.late) / late + lot);
 }
 
 /** This daemon's part of the demand that can be on time. */
-export function onTimeShare({ here, elsewhere }: RoomDemand): number {
+export function onTimeShare({ local: here, remote: elsewhere }: Contention): number {
   const all = here.onTime + elsewhere.onTime;
   return all === 0 ? 0 : here.onTime / all;
 }
 
 /** Free places of a group. */
-export interface FreePlaces {
+export interface FreeSlots {
   readonly head: InstanceId;
   readonly places: number;
 }
@@ -128,8 +136,8 @@
  * Grants the daemon its share of each group's free places. Fractions are carried from group to group and begin
  * with a lot, so that all daemons together are granted as many as there are.
  */
-export function grantPlaces(
-  groups: readonly FreePlaces[],
+export function grantSlots(
+  groups: readonly FreeSlots[],
   share: number,
   lot: number,
 ): readonly (readonly [InstanceId, number])[] {
@@ -146,12 +154,12 @@
  * The chance that a place which a stream gave back is used again. In a group that has more requests than it may
  * have, as many of the departures as it has too many are not replaced.
  */
-export function reuseChance({
+export function reuseProbability({
   running,
   batchSize,
   queued,
   departing,
-}: Pick<GroupRoom, 'running' | 'batchSize' | 'queued' | 'departing'>): number {
+}: Pick<GroupCapacity, 'running' | 'batchSize' | 'queued' | 'departing'>): number {
   const surplus = running - batchSize - queued;
   if (surplus <= 0) return 1;
   return departing === 0 ? 0 : Math.max(0, 1 - surplus / departing);
--- a/src/core/gateway/collection-updates.ts
+++ b/src/core/gateway/collection-updates.ts
@@ -9,7 +9,7 @@
 import { isLater } from '../store-era';
 import type { StorePosition } from '../store-era';
 
-export interface News<T> {
+export interface CollectionUpdate<T> {
   readonly since: StorePosition;
   readonly upTo: StorePosition;
   readonly changes: readonly { readonly key: string; readonly value?: T }[];
@@ -19,13 +19,16 @@
  * Earlier news with later ones. Where something is missing between them only the later ones are left:
  * nobody may take them for all that happened since the earlier ones.
  */
-export function joinNews<T>(earlier: News<T> | undefined, news: News<T>): News<T> {
-  if (!earlier || !reaches(earlier.upTo, news.since)) return news;
+export function mergeUpdates<T>(
+  earlier: CollectionUpdate<T> | undefined,
+  news: CollectionUpdate<T>,
+): CollectionUpdate<T> {
+  if (!earlier || !canContinueFrom(earlier.upTo, news.since)) return news;
   const last = new Map([...earlier.changes, ...news.changes].map((change) => [change.key, change]));
   return { since: earlier.since, upTo: news.upTo, changes: [...last.values()] };
 }
 
 /** Whether whoever knows the collection up to `known` can go on from `since`. */
-export function reaches(known: StorePosition, since: StorePosition): boolean {
+export function canContinueFrom(known: StorePosition, since: StorePosition): boolean {
   return known.era === since.era && !isLater(since, known);
 }
--- a/src/core/gateway/events.ts
+++ b/src/core/gateway/events.ts
@@ -21,9 +21,9 @@
   /** The whole events that `chunk` completes. */
   push(chunk: Buffer): readonly StreamEvent[];
   /** Whether a part of an event is left over. */
-  hasRest(): boolean;
+  hasPartialEvent(): boolean;
   /** Whether an event grew beyond all bounds. */
-  isOverfull(): boolean;
+  isEventTooLong(): boolean;
 }
 
 /** End of the first event in `data`, past its empty line; -1 where it is not there yet. */
@@ -65,7 +65,7 @@
       rest = data;
       return events;
     },
-    hasRest: () => rest.length > 0,
-    isOverfull: () => rest.length > MAX_EVENT_BYTES,
+    hasPartialEvent: () => rest.length > 0,
+    isEventTooLong: () => rest.length > MAX_EVENT_BYTES,
   };
 }
--- a/src/core/gateway/first-event.ts
+++ b/src/core/gateway/first-event.ts
@@ -4,7 +4,7 @@
  */
 
 /** Mean and mean deviation, milliseconds. */
-export interface FirstEvents {
+export interface FirstEventStats {
   readonly meanMs: number;
   readonly deviationMs: number;
 }
@@ -17,7 +17,7 @@
  */
 const MOST_OF_OBJECTIVE = 0.5;
 
-export function noteFirstEvent(seen: FirstEvents | undefined, ms: number): FirstEvents {
+export function noteFirstEvent(seen: FirstEventStats | undefined, ms: number): FirstEventStats {
   if (!seen) return { meanMs: ms, deviationMs: ms / 2 };
   const error = ms - seen.meanMs;
   return {
@@ -27,7 +27,7 @@
 }
 
 /** Time that a request may wait for a place and still be on time, milliseconds. */
-export function slackMs(seen: FirstEvents | undefined, objectiveMs: number): number {
+export function slackMs(seen: FirstEventStats | undefined, objectiveMs: number): number {
   const takesMs = seen ? seen.meanMs + seen.deviationMs : 0;
   return objectiveMs - Math.min(takesMs, MOST_OF_OBJECTIVE * objectiveMs);
 }
--- a/src/core/gateway/forming/compose.ts
+++ b/src/core/gateway/forming/compose.ts
@@ -5,10 +5,10 @@
 import { compareText } from '../../../utils/common';
 import type { BackendServer, ModelSpec } from '../types';
 import type { ReplicaGroup } from '../groups';
-import { withoutHeld } from './held';
-import { mayLoad } from './loads';
-import { collectFree, countLoads, pickMembers } from './members';
-import { isShort, isWanted, rankByNeed } from './need';
+import { excludeHeldSpares } from './held-spares';
+import { canStartLoads } from './loads';
+import { collectFreeServers, countRequiredLoads, pickMembers } from './members';
+import { isUnderprovisioned, isGroupWorthwhile, rankByNeed } from './need';
 import type { ModelNeed } from './need';
 import { countReserve } from './reserve';
 import { prepareSpares, stageMembers } from './spares';
@@ -54,7 +54,7 @@
     .filter(({ model }) => model.size <= free.length)
     .map((need): Candidate => {
       const { model } = need;
-      const loads = countLoads(draft, pickMembers(draft, free, model), model);
+      const loads = countRequiredLoads(draft, pickMembers(draft, free, model), model);
       return { ...need, loads, usesReserve: model.size > free.length - reserve };
     });
   const cheapest = Math.min(
@@ -64,10 +64,10 @@
   // Servers are kept for losses: a group that lost a member is put together again with them, rather
   // than its others being loaded with another model.
   const mayUseReserve = ({ loads, ...need }: Candidate): boolean =>
-    loads === 0 || (loads < cheapest && (cheapest < Infinity || isShort(draft, need)));
+    loads === 0 || (loads < cheapest && (cheapest < Infinity || isUnderprovisioned(draft, need)));
   return all.filter((candidate) => {
-    if (!candidate.usesReserve) return candidate.loads === 0 || isWanted(draft, candidate);
-    return isWanted(draft, candidate) && mayUseReserve(candidate);
+    if (!candidate.usesReserve) return candidate.loads === 0 || isGroupWorthwhile(draft, candidate);
+    return isGroupWorthwhile(draft, candidate) && mayUseReserve(candidate);
   });
 }
 
@@ -120,8 +120,8 @@
   const model = pickModel(draft, counts, domain);
   if (!model) return [];
   const members = pickMembers(draft, free, model);
-  const loads = countLoads(draft, members, model);
-  if (!mayLoad(draft, loads, draft.view.engine.loadsAtOnce * LOAD_CROWD)) return [];
+  const loads = countRequiredLoads(draft, members, model);
+  if (!canStartLoads(draft, loads, draft.view.engine.loadsAtOnce * LOAD_CROWD)) return [];
   startFormation(draft, model, members, GROUP_PREFIX);
   counts.set(model.name, (counts.get(model.name) ?? 0) + 1);
   return members;
@@ -168,7 +168,7 @@
   for (const { domain, isDraining } of draft.view.servers.values()) {
     if (domain !== undefined && !isDraining) sizes.set(domain, (sizes.get(domain) ?? 0) + 1);
   }
-  return [...collectFree(draft)]
+  return [...collectFreeServers(draft)]
     .sort(([a], [b]) => compareText(a, b))
     .map(([domain, free]) => {
       const servers = sizes.get(domain) ?? 0;
@@ -176,7 +176,7 @@
       return {
         ...(claimant && { claimant }),
         domain,
-        free: withoutHeld(draft, domain, free),
+        free: excludeHeldSpares(draft, domain, free),
         reserve: countReserve(draft, servers, sizes.size),
         isSettled: isSettled(draft, domain, servers),
       };
--- a/src/core/gateway/forming/form.ts
+++ b/src/core/gateway/forming/form.ts
@@ -1,11 +1,11 @@
 /** Takes groups being formed further: joins, then opens once every member reports that it is ready. */
 
 import type { BackendServer, ModelSpec } from '../types';
-import { isWhole } from '../groups';
+import { isComplete } from '../groups';
 import type { ReplicaGroup } from '../groups';
 import type { GroupId } from '../../ids';
 import { startRetirement } from './retire';
-import { ask, isSuspect, lastResult, modelOf } from './state';
+import { sendOrder, isSuspect, lastResult, modelOf } from './state';
 import type { Draft, Formation } from './state';
 
 function joinOrder({ group, epoch, model, members }: Formation) {
@@ -39,9 +39,9 @@
     return;
   }
   for (const member of members) {
-    if (!reports(draft, formation, member)) ask(draft, member, joinOrder(formation));
+    if (!reports(draft, formation, member)) sendOrder(draft, member, joinOrder(formation));
   }
-  if (!group || !isWhole(group, members.length)) return;
+  if (!group || !isComplete(group, members.length)) return;
   if (formation.isStandby || group.head?.membership?.state === 'open') {
     draft.formations.delete(formation.group);
     return;
@@ -51,11 +51,11 @@
 
 /** Orders the head to serve; only ever called for a whole group. */
 export function openGroup(draft: Draft, { id, epoch, head }: ReplicaGroup): void {
-  if (head) ask(draft, head, { kind: 'open', group: id, epoch });
+  if (head) sendOrder(draft, head, { kind: 'open', group: id, epoch });
 }
 
 /** Takes every group being formed a step further. */
-export function continueFormations(draft: Draft, groups: ReadonlyMap<GroupId, ReplicaGroup>): void {
+export function advanceFormations(draft: Draft, groups: ReadonlyMap<GroupId, ReplicaGroup>): void {
   for (const formation of [...draft.formations.values()]) {
     continueOne(draft, formation, groups.get(formation.group));
   }
--- a/src/core/gateway/forming/held-spares.ts
+++ b/src/core/gateway/forming/held-spares.ts
@@ -2,8 +2,8 @@
 
 import type { DomainId, ModelId } from '../../ids';
 import type { BackendServer } from '../types';
-import { pickMembers, stayingOf } from './members';
-import { uses } from './state';
+import { pickMembers, remainingMembers } from './members';
+import { isEnabled } from './state';
 import type { Draft } from './state';
 
 /** Members of ending groups that will be free in the domain, by the model to form again with them. */
@@ -11,7 +11,7 @@
   const coming = new Map<ModelId, BackendServer[]>();
   for (const { model, members } of draft.retirements.values()) {
     if (model === undefined) continue;
-    const staying = stayingOf(draft, members).filter((server) => server.domain === domain);
+    const staying = remainingMembers(draft, members).filter((server) => server.domain === domain);
     if (staying.length > 0) coming.set(model, [...(coming.get(model) ?? []), ...staying]);
   }
   return coming;
@@ -22,12 +22,12 @@
  * free within some 100 ms. A smaller group formed of the spares meanwhile would leave the larger one
  * without its replacement: its survivors are then too few, and its model loses a group for good.
  */
-export function withoutHeld(
+export function excludeHeldSpares(
   draft: Draft,
   domain: DomainId,
   free: readonly BackendServer[],
 ): readonly BackendServer[] {
-  if (!uses(draft, 'held-spares')) return free;
+  if (!isEnabled(draft, 'held-spares')) return free;
   let left = free;
   for (const [name, coming] of comingTo(draft, domain)) {
     const model = draft.view.engine.models.find((each) => each.name === name);
--- a/src/core/gateway/forming/loads.ts
+++ b/src/core/gateway/forming/loads.ts
@@ -6,7 +6,7 @@
 import type { Draft } from './state';
 
 /** Loads of this process that began within the last window or are still running. */
-export function forgetOldLoads(draft: Draft): void {
+export function pruneLoads(draft: Draft): void {
   const { now, settings } = draft;
   draft.loads = draft.loads.filter(
     ({ at, until }) => now < until || now < later(at, settings.loadWindowMs),
@@ -18,10 +18,10 @@
 }
 
 /** Whether `count` further loads may begin now. */
-export function mayLoad(draft: Draft, count: number, atMost: number): boolean {
+export function canStartLoads(draft: Draft, count: number, atMost: number): boolean {
   if (count === 0) return true;
   const { engine, hasTraffic } = draft.view;
-  const { loadWindowMs, loadShare } = draft.settings;
+  const { loadWindowMs, loadRateShare: loadShare } = draft.settings;
   const busy = running(draft);
   if (busy > 0 && busy + count > atMost) return false;
   if (!hasTraffic) return true;
--- a/src/core/gateway/forming/members.ts
+++ b/src/core/gateway/forming/members.ts
@@ -9,7 +9,7 @@
 import type { Draft } from './state';
 
 /** Servers that may be ordered into a group now, by domain. */
-export function collectFree(draft: Draft): ReadonlyMap<DomainId, BackendServer[]> {
+export function collectFreeServers(draft: Draft): ReadonlyMap<DomainId, BackendServer[]> {
   const taken = new Set<InstanceId>();
   for (const { members } of draft.formations.values()) for (const { id } of members) taken.add(id);
   for (const { members } of draft.retirements.values()) for (const { id } of members) taken.add(id);
@@ -28,7 +28,7 @@
 }
 
 /** Those of an ending group's members that go on to another one, as their entries stand now. */
-export function stayingOf(draft: Draft, members: readonly BackendServer[]): BackendServer[] {
+export function remainingMembers(draft: Draft, members: readonly BackendServer[]): BackendServer[] {
   return members.flatMap(({ id }) => {
     const server = draft.view.servers.get(id);
     return !server || server.isDraining || isSuspect(draft, id) ? [] : [server];
@@ -54,7 +54,7 @@
     .slice(0, model.size);
 }
 
-export function countLoads(
+export function countRequiredLoads(
   draft: Draft,
   servers: readonly BackendServer[],
   model: ModelSpec,
--- a/src/core/gateway/forming/need.ts
+++ b/src/core/gateway/forming/need.ts
@@ -3,7 +3,7 @@
 import type { ModelId } from '../../ids';
 import { compareText } from '../../../utils/common';
 import type { ModelSpec } from '../types';
-import { uses } from './state';
+import { isEnabled } from './state';
 import type { Draft } from './state';
 
 /** How much a model needs one more group. */
@@ -30,7 +30,7 @@
  * of these leave: it is then taken to have at least its published part of all work.
  */
 function workOf({ view }: Draft, model: ModelSpec, groups: number): number {
-  const { demand, engine } = view;
+  const { offeredLoad: demand, engine } = view;
   if (!demand) return partOf(model);
   const own = demand.get(model.name) ?? 0;
   if (groups > 0) return own;
@@ -62,12 +62,12 @@
 const WANTED_AT = 0.6;
 
 /** Whether a further group of the model would be put to use; so it is as long as no work is known. */
-export function isWanted(draft: Draft, { work, groups }: ModelNeed): boolean {
-  if (!uses(draft, 'wanted')) return true;
-  return draft.view.demand === undefined || groups === 0 || work > WANTED_AT * groups;
+export function isGroupWorthwhile(draft: Draft, { work, groups }: ModelNeed): boolean {
+  if (!isEnabled(draft, 'wanted')) return true;
+  return draft.view.offeredLoad === undefined || groups === 0 || work > WANTED_AT * groups;
 }
 
 /** Whether callers are served and the model has fewer groups than its work fills. */
-export function isShort({ view }: Draft, { work, groups }: ModelNeed): boolean {
-  return view.demand !== undefined && work > SHORT_AT * groups;
+export function isUnderprovisioned({ view }: Draft, { work, groups }: ModelNeed): boolean {
+  return view.offeredLoad !== undefined && work > SHORT_AT * groups;
 }
--- a/src/core/gateway/forming/plan.ts
+++ b/src/core/gateway/forming/plan.ts
@@ -6,16 +6,16 @@
 
 import { later } from '../../ids';
 import type { GroupId, InstanceId, MonoTime } from '../../ids';
-import { collectGroups, isWhole } from '../groups';
+import { collectGroups, isComplete } from '../groups';
 import type { ReplicaGroup } from '../groups';
 import type { OrderResult } from '../orders';
 import type { BackendServer } from '../types';
 import { composeGroups } from './compose';
-import { continueFormations, joinCost, openGroup } from './form';
-import { forgetOldLoads } from './loads';
-import { collectFree } from './members';
-import { forgetOldLosses, noteLoss } from './reserve';
-import { continueRetirements, startRetirement } from './retire';
+import { advanceFormations, joinCost, openGroup } from './form';
+import { pruneLoads } from './loads';
+import { collectFreeServers } from './members';
+import { pruneLosses, noteLoss } from './reserve';
+import { advanceRetirements, startRetirement } from './retire';
 import { claimDomain } from './rebalance';
 import { isStandby } from './start';
 import { draftOf, isSuspect, noteModels, stateOf } from './state';
@@ -82,7 +82,7 @@
   const model = draft.view.engine.models.find(({ name }) => name === group.model);
   if (!model || group.domain === undefined) return false;
   const staying = group.members.filter(({ isDraining }) => !isDraining);
-  const spares = (collectFree(draft).get(group.domain) ?? []).filter(
+  const spares = (collectFreeServers(draft).get(group.domain) ?? []).filter(
     (server) => !joinCost(draft, server, model).isLoad,
   );
   return staying.length + spares.length >= model.size;
@@ -100,8 +100,8 @@
 
 /** A group whose head is not listed: no request is sent to it, though it may serve. */
 function watchHeadless(draft: Draft, group: ReplicaGroup): void {
-  const since = draft.strangers.get(group.id) ?? draft.now;
-  draft.strangers.set(group.id, since);
+  const since = draft.foreignGroups.get(group.id) ?? draft.now;
+  draft.foreignGroups.set(group.id, since);
   const head = [...unseenMembers(draft, group), ...endedMembers(draft, group)].find(
     ({ membership }) => membership?.rank === 0,
   );
@@ -109,21 +109,21 @@
     end(draft, group, 'leave', head);
     return;
   }
-  const isLong = draft.now >= later(since, draft.settings.unseenMs);
+  const isLong = draft.now >= later(since, draft.settings.unlistedHeadMs);
   if (isLong || hasReplacement(draft, group)) end(draft, group, 'finish', head);
 }
 
 /** A group that neither serves nor is being formed here: an earlier leader's work, opened if whole. */
 function watchStranger(draft: Draft, group: ReplicaGroup): void {
-  const since = draft.strangers.get(group.id) ?? draft.now;
-  draft.strangers.set(group.id, since);
+  const since = draft.foreignGroups.get(group.id) ?? draft.now;
+  draft.foreignGroups.set(group.id, since);
   const size = sizeOf(draft, group);
-  if (size !== undefined && isWhole(group, size) && !findFault(draft, group, size)) {
+  if (size !== undefined && isComplete(group, size) && !findFault(draft, group, size)) {
     openGroup(draft, group);
     return;
   }
   const isLoading = group.members.every(({ membership }) => membership?.state === 'joining');
-  const { adoptMs } = draft.settings;
+  const { adoptTimeoutMs: adoptMs } = draft.settings;
   const longest = Math.max(0, ...draft.view.engine.models.map(({ loadMs }) => loadMs));
   const waitMs = isLoading ? adoptMs + longest : adoptMs;
   if (draft.now >= later(since, waitMs)) end(draft, group, 'leave');
@@ -157,7 +157,7 @@
     return;
   }
   const state = head?.membership?.state;
-  if (state === 'open') draft.strangers.delete(id);
+  if (state === 'open') draft.foreignGroups.delete(id);
   if (draft.formations.has(id) && state !== 'broken') return;
   if (state === undefined) watchHeadless(draft, group);
   else WATCH[state]?.(draft, group);
@@ -165,11 +165,11 @@
 
 function forget(draft: Draft): void {
   const isOld = (at: MonoTime): boolean => draft.now >= later(at, MEMORY_MS);
-  for (const [key, { at }] of draft.sent) if (isOld(at)) draft.sent.delete(key);
+  for (const [key, { at }] of draft.sentOrders) if (isOld(at)) draft.sentOrders.delete(key);
   for (const [id, at] of draft.dissolved) if (isOld(at)) draft.dissolved.delete(id);
   for (const [id, until] of draft.suspects) if (draft.now >= until) draft.suspects.delete(id);
-  forgetOldLoads(draft);
-  forgetOldLosses(draft);
+  pruneLoads(draft);
+  pruneLosses(draft);
 }
 
 /** Makes the next plan. To be called after each change and every so often. */
@@ -179,19 +179,19 @@
   noteModels(draft);
   const groups = collectGroups(view.servers.values());
   const byId = new Map<GroupId, ReplicaGroup>(groups.map((group) => [group.id, group]));
-  for (const id of draft.strangers.keys()) if (!byId.has(id)) draft.strangers.delete(id);
+  for (const id of draft.foreignGroups.keys()) if (!byId.has(id)) draft.foreignGroups.delete(id);
   for (const group of groups) watchGroup(draft, group);
-  continueFormations(draft, byId);
-  continueRetirements(draft);
+  advanceFormations(draft, byId);
+  advanceRetirements(draft);
   composeGroups(draft, groups, claimDomain(draft, groups));
   return { state: stateOf(draft), orders: draft.effects };
 }
 
 /** Takes in what became of an order. */
 export function noteResult(state: FormingState, key: string, result: OrderResult): FormingState {
-  const sent = state.sent.get(key);
+  const sent = state.sentOrders.get(key);
   if (!sent) return state;
-  return { ...state, sent: new Map(state.sent).set(key, { ...sent, result }) };
+  return { ...state, sentOrders: new Map(state.sentOrders).set(key, { ...sent, result }) };
 }
 
 /** Believes a server lost until `until`, or no more where it is left out. */
--- a/src/core/gateway/forming/rebalance.ts
+++ b/src/core/gateway/forming/rebalance.ts
@@ -15,16 +15,16 @@
 import type { BackendServer, ModelSpec } from '../types';
 import { countGroups } from './compose';
 import { joinCost } from './form';
-import { collectFree, stayingOf } from './members';
+import { collectFreeServers, remainingMembers } from './members';
 import { rankByNeed } from './need';
 import type { ModelNeed } from './need';
 import { startRetirement } from './retire';
 import { isStandby } from './start';
-import { uses } from './state';
+import { isEnabled } from './state';
 import type { Draft } from './state';
 
 /** Domains whose free servers are kept for one model. */
-export type Claims = ReadonlyMap<DomainId, ModelSpec>;
+export type DomainClaims = ReadonlyMap<DomainId, ModelSpec>;
 
 /** Above this much work for each group a model may be given servers of another one. */
 const FULL_AT = 0.7;
@@ -40,8 +40,9 @@
     if (server.domain === undefined) return;
     found.set(server.domain, [...(found.get(server.domain) ?? []), server]);
   };
-  for (const free of collectFree(draft).values()) free.forEach(add);
-  for (const { members } of draft.retirements.values()) stayingOf(draft, members).forEach(add);
+  for (const free of collectFreeServers(draft).values()) free.forEach(add);
+  for (const { members } of draft.retirements.values())
+    remainingMembers(draft, members).forEach(add);
   return found;
 }
 
@@ -140,9 +141,10 @@
 }
 
 /** Keeps a domain for a model that lacks groups, ending groups of others there if need be. */
-export function claimDomain(draft: Draft, groups: readonly ReplicaGroup[]): Claims {
+export function claimDomain(draft: Draft, groups: readonly ReplicaGroup[]): DomainClaims {
   // Before callers come all groups are being formed, and loads take a fraction of their time.
-  if (!draft.view.hasTraffic || !draft.view.demand || !uses(draft, 'rebalance')) return new Map();
+  if (!draft.view.hasTraffic || !draft.view.offeredLoad || !isEnabled(draft, 'rebalance'))
+    return new Map();
   const want = wantOf(rankByNeed(draft, countGroups(draft, groups)));
   const sacrifice = want && chooseSacrifice(draft, want, groups, findReachable(draft));
   if (!sacrifice) return new Map();
--- a/src/core/gateway/forming/reserve.ts
+++ b/src/core/gateway/forming/reserve.ts
@@ -9,7 +9,7 @@
  */
 
 import { later } from '../../ids';
-import { uses } from './state';
+import { isEnabled } from './state';
 import type { Draft } from './state';
 
 /** One server in so many of a domain is kept spare whatever was observed. */
@@ -21,18 +21,18 @@
 
 /** A group has lost a member. */
 export function noteLoss(draft: Draft): void {
-  draft.losses.push(draft.now);
+  draft.recentLosses.push(draft.now);
 }
 
-export function forgetOldLosses(draft: Draft): void {
-  draft.losses = draft.losses.filter((at) => draft.now < later(at, LOSS_WINDOW_MS));
+export function pruneLosses(draft: Draft): void {
+  draft.recentLosses = draft.recentLosses.filter((at) => draft.now < later(at, LOSS_WINDOW_MS));
 }
 
 /** Servers to keep in a domain of `servers`, one of `domains`. */
 export function countReserve(draft: Draft, servers: number, domains: number): number {
   const least = Math.floor(servers / SERVERS_PER_SPARE);
-  if (!draft.view.hasTraffic || !uses(draft, 'reserve')) return least;
+  if (!draft.view.hasTraffic || !isEnabled(draft, 'reserve')) return least;
   const loadMs = Math.max(0, ...draft.view.engine.models.map((model) => model.loadMs));
-  const expected = (draft.losses.length * loadMs) / LOSS_WINDOW_MS / Math.max(1, domains);
+  const expected = (draft.recentLosses.length * loadMs) / LOSS_WINDOW_MS / Math.max(1, domains);
   return Math.max(least, LEAST_WITH_TRAFFIC, Math.round(expected + Math.sqrt(expected)));
 }
--- a/src/core/gateway/forming/retire.ts
+++ b/src/core/gateway/forming/retire.ts
@@ -6,7 +6,7 @@
 
 import { later } from '../../ids';
 import type { BackendServer } from '../types';
-import { ask, isSuspect } from './state';
+import { sendOrder, isSuspect } from './state';
 import type { Draft, Retirement, RetirementStep } from './state';
 
 /** A head that answers no order for so long is held to be out of reach; one lost answer and a little more. */
@@ -19,7 +19,7 @@
 ): void {
   const { group, head } = of;
   draft.formations.delete(group);
-  draft.strangers.delete(group);
+  draft.foreignGroups.delete(group);
   draft.dissolved.delete(group);
   const isReachable = head !== undefined && !isSuspect(draft, head.id);
   const first: RetirementStep = isReachable ? step : 'starve';
@@ -66,8 +66,8 @@
       return;
     }
     const { group, epoch } = retirement;
-    const result = ask(draft, head, { kind: 'close', group, epoch, mode: 'finish' });
-    const { finishMs, unseenFinishMs } = draft.settings;
+    const result = sendOrder(draft, head, { kind: 'close', group, epoch, mode: 'finish' });
+    const { finishTimeoutMs: finishMs, unlistedFinishMs: unseenFinishMs } = draft.settings;
     const limitMs = state === undefined ? unseenFinishMs : finishMs;
     const isLate = draft.now >= later(retirement.since, limitMs);
     const isLost = retirement.members.some(({ id }) => isSuspect(draft, id));
@@ -77,11 +77,11 @@
   },
   abort: (draft, retirement, head) => {
     const { group, epoch } = retirement;
-    const result = ask(draft, head, { kind: 'close', group, epoch, mode: 'abort' });
+    const result = sendOrder(draft, head, { kind: 'close', group, epoch, mode: 'abort' });
     if (result !== undefined) turnTo(draft, retirement, 'leave');
   },
   leave: (draft, retirement, head) => {
-    const result = ask(draft, head, leaveOrder(retirement));
+    const result = sendOrder(draft, head, leaveOrder(retirement));
     if (result === 'done' || result === 'other-server' || hasLeft(draft, retirement)) {
       setFree(draft, retirement);
       return;
@@ -91,7 +91,7 @@
       turnTo(draft, retirement, 'starve');
   },
   starve: (draft, retirement, head) => {
-    const result = ask(draft, head, leaveOrder(retirement));
+    const result = sendOrder(draft, head, leaveOrder(retirement));
     if (result === 'done' || result === 'other-server' || hasLeft(draft, retirement)) {
       setFree(draft, retirement);
       return;
@@ -110,14 +110,14 @@
   const others = retirement.members.filter(({ id }) => id !== retirement.head?.id);
   const results = others
     .filter(({ id }) => draft.view.servers.has(id))
-    .map((member) => ask(draft, member, leaveOrder(retirement)));
+    .map((member) => sendOrder(draft, member, leaveOrder(retirement)));
   if (!results.includes('done')) return;
   const freeAt = later(now, settings.headBreakMs + settings.starveMarginMs);
   draft.retirements.set(retirement.group, { ...retirement, freeAt });
 }
 
 /** Takes every ending group a step further. */
-export function continueRetirements(draft: Draft): void {
+export function advanceRetirements(draft: Draft): void {
   for (const retirement of [...draft.retirements.values()]) {
     const { head } = retirement;
     // A head that has started again has nothing of the group that its earlier life served.
--- a/src/core/gateway/forming/spares.ts
+++ b/src/core/gateway/forming/spares.ts
@@ -5,9 +5,9 @@
 import type { ReplicaGroup } from '../groups';
 import type { BackendServer, ModelSpec } from '../types';
 import { joinCost } from './form';
-import { mayLoad, noteLoads } from './loads';
+import { canStartLoads, noteLoads } from './loads';
 import { isStandby, STANDBY_PREFIX, startFormation } from './start';
-import { ask, modelOf, uses } from './state';
+import { sendOrder, modelOf, isEnabled } from './state';
 import type { Draft } from './state';
 
 /** Spares of a domain that are warm for each model, or soon will be. */
@@ -56,7 +56,7 @@
   domain: DomainId,
   spares: readonly BackendServer[],
 ): void {
-  if (!uses(draft, 'spares')) return;
+  if (!isEnabled(draft, 'spares')) return;
   // The largest group loses a member most often.
   const models = [...draft.view.engine.models].sort((a, b) => b.size - a.size);
   const warm = countWarm(draft, domain, spares);
@@ -70,7 +70,7 @@
 }
 
 function loadsForSpares({ view, settings }: Draft): number {
-  return view.hasTraffic ? settings.spareLoads : view.engine.loadsAtOnce;
+  return view.hasTraffic ? settings.maxSpareLoads : view.engine.loadsAtOnce;
 }
 
 function isLoading(draft: Draft, { id }: BackendServer): boolean {
@@ -78,8 +78,8 @@
 }
 
 function stage(draft: Draft, server: BackendServer, model: ModelSpec): void {
-  if (isLoading(draft, server) || !mayLoad(draft, 1, loadsForSpares(draft))) return;
-  ask(draft, server, { kind: 'stage', model: model.name });
+  if (isLoading(draft, server) || !canStartLoads(draft, 1, loadsForSpares(draft))) return;
+  sendOrder(draft, server, { kind: 'stage', model: model.name });
   noteLoads(draft, [server], model);
 }
 
@@ -92,7 +92,7 @@
   if (isLoading(draft, server)) return;
   if (modelOf(draft, server) !== warm.name) {
     const cost = joinCost(draft, server, warm);
-    if (!mayLoad(draft, cost.isLoad ? 1 : 0, loadsForSpares(draft))) return;
+    if (!canStartLoads(draft, cost.isLoad ? 1 : 0, loadsForSpares(draft))) return;
     startFormation(draft, warm, [server], STANDBY_PREFIX);
     return;
   }
@@ -105,7 +105,7 @@
  * of a model that has enough, in place of a load of weights.
  */
 export function stageMembers(draft: Draft, groups: readonly ReplicaGroup[]): void {
-  if (!uses(draft, 'staged-members')) return;
+  if (!isEnabled(draft, 'staged-members')) return;
   const { models } = draft.view.engine;
   for (const { id, model, members } of groups) {
     const own = models.find(({ name }) => name === model);
--- a/src/core/gateway/forming/start.ts
+++ b/src/core/gateway/forming/start.ts
@@ -18,8 +18,8 @@
 }
 
 function nextEpoch(draft: Draft): Epoch {
-  draft.epochs += 1;
-  return brandAs<Epoch>(draft.view.fencing * EPOCHS_PER_LEASE + draft.epochs);
+  draft.epochCount += 1;
+  return brandAs<Epoch>(draft.view.fencing * EPOCHS_PER_LEASE + draft.epochCount);
 }
 
 export function startFormation(
--- a/src/core/gateway/forming/state.ts
+++ b/src/core/gateway/forming/state.ts
@@ -21,7 +21,7 @@
 
 export interface FormingSettings {
   /** Mechanisms that are switched off, for measurement. */
-  readonly without: readonly FormingMechanism[];
+  readonly disabledMechanisms: readonly FormingMechanism[];
   /** A head that waits for a lost member stands still for so long before it is broken; the platform's figure. */
   readonly headBreakMs: number;
   /** Weight loads are counted over windows of this length; the platform's figure. */
@@ -35,47 +35,47 @@
    * Longest time between two sendings of an order. After `quickSends` the time doubles with each: a
    * server that still gives no sign is likely dark, and a fleet loses servers by the hundred.
    */
-  readonly longestResendMs: number;
-  readonly quickSends: number;
+  readonly maxResendMs: number;
+  readonly fastResends: number;
   /** Added to `headBreakMs` before members of an unreachable head are used again, for clocks and reports. */
   readonly starveMarginMs: number;
   /** Added to the expected time of a join before it is given up. */
   readonly joinSlackMs: number;
   /** A half-formed group of an earlier leader is left so long to become whole. */
-  readonly adoptMs: number;
+  readonly adoptTimeoutMs: number;
   /** A head that is not listed and closes after its requests shows no end; it has this long. */
-  readonly unseenFinishMs: number;
+  readonly unlistedFinishMs: number;
   /** A group whose head is not listed waits so long for its return before it is replaced at the price of a load. */
-  readonly unseenMs: number;
+  readonly unlistedHeadMs: number;
   /** A closing group may finish its requests for so long; the longest deadline of a stream and a little more. */
-  readonly finishMs: number;
+  readonly finishTimeoutMs: number;
   /**
    * A domain to which no server came for so long is taken to be complete: only then are weights
    * loaded for a model that would not have been the first choice.
    */
   readonly settleMs: number;
   /** Weight loads for spares alone that run at a time once callers are served: loads are dear. */
-  readonly spareLoads: number;
+  readonly maxSpareLoads: number;
   /** Share of the loads allowed in a window that are used; the rest is for a change of leader. */
-  readonly loadShare: number;
+  readonly loadRateShare: number;
 }
 
 export const FORMING_DEFAULTS: FormingSettings = {
-  without: [],
+  disabledMechanisms: [],
   headBreakMs: 6_000,
   loadWindowMs: 5_000,
   resendMs: 200,
-  longestResendMs: 1_600,
-  quickSends: 5,
+  maxResendMs: 1_600,
+  fastResends: 5,
   starveMarginMs: 500,
   joinSlackMs: 2_500,
-  adoptMs: 2_500,
-  unseenFinishMs: 1_500,
-  unseenMs: 8_000,
-  finishMs: 9_000,
+  adoptTimeoutMs: 2_500,
+  unlistedFinishMs: 1_500,
+  unlistedHeadMs: 8_000,
+  finishTimeoutMs: 9_000,
   settleMs: 900,
-  spareLoads: 6,
-  loadShare: 0.8,
+  maxSpareLoads: 6,
+  loadRateShare: 0.8,
 };
 
 /** A group being formed. */
@@ -131,18 +131,18 @@
   /** Groups whose heads can serve no more; their members are free, whatever they report. */
   readonly dissolved: ReadonlyMap<GroupId, MonoTime>;
   /** When a group was first seen that this process has not formed. */
-  readonly strangers: ReadonlyMap<GroupId, MonoTime>;
+  readonly foreignGroups: ReadonlyMap<GroupId, MonoTime>;
   /** Servers believed lost, and until when. */
   readonly suspects: ReadonlyMap<InstanceId, MonoTime>;
-  readonly sent: ReadonlyMap<string, SentOrder>;
+  readonly sentOrders: ReadonlyMap<string, SentOrder>;
   /** Ends of the weight loads begun by this process, and when they began. */
   readonly loads: readonly WeightLoad[];
   /** Numbers the epochs of one lease. */
-  readonly epochs: number;
+  readonly epochCount: number;
   /** When servers last came to a domain, and how many it has. */
   readonly arrivals: ReadonlyMap<DomainId, Arrival>;
   /** When groups lost members, of late. */
-  readonly losses: readonly MonoTime[];
+  readonly recentLosses: readonly MonoTime[];
   /** Model of the last group of each server: it stays warm for it, though it reports none once it has left. */
   readonly lastModels: ReadonlyMap<InstanceId, ModelId>;
 }
@@ -171,7 +171,7 @@
   /** Whether callers have been served: loads are slower from then on, and counted. */
   readonly hasTraffic: boolean;
   /** Work of each model, in groups that it would keep busy; left out where nothing is known. */
-  readonly demand?: ReadonlyMap<ModelId, number>;
+  readonly offeredLoad?: ReadonlyMap<ModelId, number>;
 }
 
 export interface OrderEffect {
@@ -180,19 +180,19 @@
   readonly order: ServerOrder;
 }
 
-export function createForming(settings: Partial<FormingSettings> = {}): FormingState {
+export function createFormingState(settings: Partial<FormingSettings> = {}): FormingState {
   return {
     settings: { ...FORMING_DEFAULTS, ...settings },
     formations: new Map(),
     retirements: new Map(),
     dissolved: new Map(),
-    strangers: new Map(),
+    foreignGroups: new Map(),
     suspects: new Map(),
-    sent: new Map(),
+    sentOrders: new Map(),
     loads: [],
-    epochs: 0,
+    epochCount: 0,
     arrivals: new Map(),
-    losses: [],
+    recentLosses: [],
     lastModels: new Map(),
   };
 }
@@ -203,13 +203,13 @@
   readonly formations: Map<GroupId, Formation>;
   readonly retirements: Map<GroupId, Retirement>;
   readonly dissolved: Map<GroupId, MonoTime>;
-  readonly strangers: Map<GroupId, MonoTime>;
+  readonly foreignGroups: Map<GroupId, MonoTime>;
   readonly suspects: Map<InstanceId, MonoTime>;
-  readonly sent: Map<string, SentOrder>;
+  readonly sentOrders: Map<string, SentOrder>;
   loads: WeightLoad[];
-  epochs: number;
+  epochCount: number;
   readonly arrivals: Map<DomainId, Arrival>;
-  losses: MonoTime[];
+  recentLosses: MonoTime[];
   readonly lastModels: Map<InstanceId, ModelId>;
   readonly view: FormingView;
   readonly now: MonoTime;
@@ -222,13 +222,13 @@
     formations: new Map(state.formations),
     retirements: new Map(state.retirements),
     dissolved: new Map(state.dissolved),
-    strangers: new Map(state.strangers),
+    foreignGroups: new Map(state.foreignGroups),
     suspects: new Map(state.suspects),
-    sent: new Map(state.sent),
+    sentOrders: new Map(state.sentOrders),
     loads: [...state.loads],
-    epochs: state.epochs,
+    epochCount: state.epochCount,
     arrivals: new Map(state.arrivals),
-    losses: [...state.losses],
+    recentLosses: [...state.recentLosses],
     lastModels: new Map(state.lastModels),
     view,
     now,
@@ -237,20 +237,28 @@
 }
 
 export function stateOf(draft: Draft): FormingState {
-  const { settings, formations, retirements, dissolved, strangers } = draft;
-  const { suspects, sent, loads, epochs, arrivals, losses, lastModels } = draft;
+  const { settings, formations, retirements, dissolved, foreignGroups: strangers } = draft;
+  const {
+    suspects,
+    sentOrders: sent,
+    loads,
+    epochCount: epochs,
+    arrivals,
+    recentLosses: losses,
+    lastModels,
+  } = draft;
   return {
     settings,
     formations,
     retirements,
     dissolved,
-    strangers,
+    foreignGroups: strangers,
     suspects,
-    sent,
+    sentOrders: sent,
     loads,
-    epochs,
+    epochCount: epochs,
     arrivals,
-    losses,
+    recentLosses: losses,
     lastModels,
   };
 }
@@ -271,8 +279,8 @@
 }
 
 /** Whether the mechanism is in use. */
-export function uses({ settings }: Draft, mechanism: FormingMechanism): boolean {
-  return !settings.without.includes(mechanism);
+export function isEnabled({ settings }: Draft, mechanism: FormingMechanism): boolean {
+  return !settings.disabledMechanisms.includes(mechanism);
 }
 
 export function isSuspect(draft: Draft, id: InstanceId): boolean {
@@ -287,7 +295,7 @@
 }
 
 function resendAt({ settings }: Draft, { at, sends }: SentOrder): MonoTime {
-  const { resendMs, longestResendMs, quickSends } = settings;
+  const { resendMs, maxResendMs: longestResendMs, fastResends: quickSends } = settings;
   const doublings = Math.max(0, sends - quickSends);
   return later(at, Math.min(longestResendMs, resendMs * 2 ** doublings));
 }
@@ -296,15 +304,15 @@
  * Sends an order unless it is on its way or was settled a moment ago, and gives the last result.
  * Orders without a visible effect are sent again: all of them are idempotent.
  */
-export function ask(
+export function sendOrder(
   draft: Draft,
   server: BackendServer,
   order: ServerOrder,
 ): OrderResult | undefined {
   const key = keyOf(server, order);
-  const sent = draft.sent.get(key);
+  const sent = draft.sentOrders.get(key);
   if (!sent || draft.now >= resendAt(draft, sent)) {
-    draft.sent.set(key, { at: draft.now, sends: (sent?.sends ?? 0) + 1 });
+    draft.sentOrders.set(key, { at: draft.now, sends: (sent?.sends ?? 0) + 1 });
     draft.effects.push({ key, server, order });
   }
   return sent?.result;
@@ -315,5 +323,5 @@
   server: BackendServer,
   order: ServerOrder,
 ): OrderResult | undefined {
-  return draft.sent.get(keyOf(server, order))?.result;
+  return draft.sentOrders.get(keyOf(server, order))?.result;
 }
--- a/src/core/gateway/groups.ts
+++ b/src/core/gateway/groups.ts
@@ -79,7 +79,7 @@
 }
 
 /** Whether all `size` members report that they are ready under the same group and epoch. */
-export function isWhole(group: ReplicaGroup, size: number): boolean {
+export function isComplete(group: ReplicaGroup, size: number): boolean {
   if (group.members.length !== size) return false;
   return group.members.every(({ membership }, rank) => {
     if (membership?.rank !== rank) return false;
--- a/src/core/gateway/limits/known.ts
+++ b/src/core/gateway/limits/known.ts
@@ -11,16 +11,16 @@
 import { later } from '../../ids';
 
 /** What an answer said. */
-export interface Said {
+export interface LimitReport {
   /** Requests a second; undefined where the server named no limit. */
   readonly perSecond?: number | undefined;
   /** When its request was sent. */
   readonly sentAt: MonoTime;
 }
 
-export interface KnownLimit extends Said {
+export interface KnownLimit extends LimitReport {
   /** When the answer was read. */
-  readonly heardAt: MonoTime;
+  readonly receivedAt: MonoTime;
   /** Whether the server said so to this daemon. Only such statements are passed on, so that none comes back as news. */
   readonly isOwn: boolean;
 }
@@ -28,7 +28,7 @@
 export type KnownLimits = ReadonlyMap<InstanceId, KnownLimit>;
 
 /** A statement as a peer tells it: null where the limit has ended; ages in milliseconds. */
-export type Told = [
+export type LimitUpdate = [
   server: InstanceId,
   perSecond: number | null,
   sentAgeMs: number,
@@ -44,33 +44,37 @@
 function replaces(next: KnownLimit, known: KnownLimit): boolean {
   const before = known.perSecond ?? Infinity;
   const after = next.perSecond ?? Infinity;
-  if (after < before) return next.heardAt >= known.sentAt;
-  if (after > before) return next.sentAt > known.heardAt;
+  if (after < before) return next.receivedAt >= known.sentAt;
+  if (after > before) return next.sentAt > known.receivedAt;
   return next.sentAt > known.sentAt;
 }
 
 export function noteAnswer(
   known: KnownLimits,
   server: InstanceId,
-  said: Said,
+  said: LimitReport,
   now: MonoTime,
 ): KnownLimits {
   const before = known.get(server);
-  const next: KnownLimit = { ...said, heardAt: now, isOwn: true };
+  const next: KnownLimit = { ...said, receivedAt: now, isOwn: true };
   if (said.perSecond === undefined) {
     if (before?.perSecond === undefined) return known;
-    if (now < later(before.heardAt, FLICKER_MS)) return known;
+    if (now < later(before.receivedAt, FLICKER_MS)) return known;
   }
   return before && !replaces(next, before) ? known : new Map(known).set(server, next);
 }
 
 /** Takes what a peer told. */
-export function takeTold(known: KnownLimits, told: readonly Told[], now: MonoTime): KnownLimits {
+export function mergeLimitUpdates(
+  known: KnownLimits,
+  told: readonly LimitUpdate[],
+  now: MonoTime,
+): KnownLimits {
   const taken = told.flatMap(([server, perSecond, sentAgeMs, heardAgeMs]) => {
     const next: KnownLimit = {
       perSecond: perSecond ?? undefined,
       sentAt: later(now, -sentAgeMs),
-      heardAt: later(now, -heardAgeMs),
+      receivedAt: later(now, -heardAgeMs),
       isOwn: false,
     };
     const before = known.get(server);
@@ -80,20 +84,26 @@
 }
 
 /** Without limits that ended long ago, and without servers that are gone. */
-export function forget(
+export function pruneLimits(
   known: KnownLimits,
   isGone: (server: InstanceId) => boolean,
   now: MonoTime,
 ): KnownLimits {
-  const isKept = ([server, { perSecond, heardAt }]: [InstanceId, KnownLimit]): boolean =>
-    now < later(heardAt, ENDED_MS) || (perSecond !== undefined && !isGone(server));
+  const isKept = ([server, { perSecond, receivedAt: heardAt }]: [
+    InstanceId,
+    KnownLimit,
+  ]): boolean => now < later(heardAt, ENDED_MS) || (perSecond !== undefined && !isGone(server));
   const kept = [...known].filter(isKept);
   return kept.length === known.size ? known : new Map(kept);
 }
 
 /** What is told to peers; `ofAll` where this daemon collects for them what each was told. */
-export function tell(known: KnownLimits, now: MonoTime, { ofAll = false } = {}): Told[] {
-  return [...known].flatMap(([server, { perSecond, sentAt, heardAt, isOwn }]) =>
+export function listLimitUpdates(
+  known: KnownLimits,
+  now: MonoTime,
+  { ofAll = false } = {},
+): LimitUpdate[] {
+  return [...known].flatMap(([server, { perSecond, sentAt, receivedAt: heardAt, isOwn }]) =>
     isOwn || ofAll
       ? [[server, perSecond ?? null, Math.max(0, now - sentAt), Math.max(0, now - heardAt)]]
       : [],
--- a/src/core/gateway/limits/share.ts
+++ b/src/core/gateway/limits/share.ts
@@ -10,11 +10,11 @@
 import type { DaemonId, InstanceId, MonoTime } from '../../ids';
 import { rankByRendezvous, rankOf } from '../../membership/rendezvous';
 
-export interface Share {
+export interface RateShare {
   /** Turns a second; 0 for a daemon that does not send to the server. */
   readonly perSecond: number;
   /** Turns that may be saved up. */
-  readonly mostSaved: number;
+  readonly burst: number;
 }
 
 /** A server that takes less is still asked this often, requests a second: its answer tells when it takes more. */
@@ -28,7 +28,7 @@
 const SAVED_S = 0.25;
 
 const MS_PER_S = 1_000;
-const NO_SHARE: Share = { perSecond: 0, mostSaved: 0 };
+const NO_SHARE: RateShare = { perSecond: 0, burst: 0 };
 
 export function countSenders(limitPerS: number, daemons: number): number {
   return Math.max(1, Math.min(daemons, Math.ceil(limitPerS)));
@@ -46,7 +46,7 @@
   ) as DaemonId[];
 }
 
-export interface ShareFacts {
+export interface ShareParams {
   readonly server: InstanceId;
   readonly limitPerS: number;
   readonly self: DaemonId;
@@ -54,36 +54,36 @@
   readonly daemons: readonly DaemonId[];
 }
 
-export function shareOf({ server, limitPerS, self, daemons }: ShareFacts): Share {
+export function shareOf({ server, limitPerS, self, daemons }: ShareParams): RateShare {
   const senders = countSenders(limitPerS, daemons.length);
   if (rankOf(server, self, daemons) >= senders) return NO_SHARE;
   const perSecond = Math.max(limitPerS, LEAST_PER_S) / senders;
-  return { perSecond, mostSaved: Math.max(LEAST_SAVED, perSecond * SAVED_S) };
+  return { perSecond, burst: Math.max(LEAST_SAVED, perSecond * SAVED_S) };
 }
 
 /** Turns that a daemon has saved. Where its share begins anew there are none: others may have had them. */
-export interface Turns {
-  readonly saved: number;
+export interface ShareBucket {
+  readonly tokens: number;
   readonly at: MonoTime;
 }
 
 export function refill(
-  { saved, at }: Turns,
-  { perSecond, mostSaved }: Share,
+  { tokens: saved, at }: ShareBucket,
+  { perSecond, burst: mostSaved }: RateShare,
   now: MonoTime,
-): Turns {
+): ShareBucket {
   const gained = (Math.max(0, now - at) / MS_PER_S) * perSecond;
-  return { saved: Math.min(mostSaved, saved + gained), at: now };
+  return { tokens: Math.min(mostSaved, saved + gained), at: now };
 }
 
 /** Time until a whole turn is there, milliseconds; infinite without a share. */
-export function turnInMs({ saved }: Turns, { perSecond }: Share): number {
+export function msUntilToken({ tokens: saved }: ShareBucket, { perSecond }: RateShare): number {
   if (saved >= 1) return 0;
   return perSecond === 0 ? Infinity : ((1 - saved) / perSecond) * MS_PER_S;
 }
 
 /** Time in which the server takes one more request from any daemon, milliseconds. */
-export function paceMs(limitPerS: number): number {
+export function requestIntervalMs(limitPerS: number): number {
   return MS_PER_S / Math.max(limitPerS, LEAST_PER_S);
 }
 
@@ -91,7 +91,7 @@
  * Daemons that are entered and give no sign. Nothing is said where the entered ones that are heard are not the
  * most: then it is this daemon that may be cut off, and the others that go on without it.
  */
-export function listSilent(
+export function listUnresponsive(
   entered: readonly DaemonId[],
   heard: ReadonlySet<DaemonId>,
 ): readonly DaemonId[] {
--- a/src/core/gateway/link-health.ts
+++ b/src/core/gateway/link-health.ts
@@ -15,25 +15,25 @@
 const SILENT_SHARE = 0.5;
 
 /** What this daemon tells one peer, again and again. */
-export interface Conversation {
+export interface LinkActivity {
   /** No answer before this instant is missed: the peer was not told anything, or over another link. */
   readonly since: MonoTime;
-  readonly spokeAt: MonoTime;
+  readonly lastSentAt: MonoTime;
 }
 
 /** Enters that the peer is told something now. After a pause a conversation begins anew. */
-export function noteSpoken(
-  before: Conversation | undefined,
+export function noteLinkSend(
+  before: LinkActivity | undefined,
   now: MonoTime,
   settleMs: number,
-): Conversation {
-  const isRunning = before && now < later(before.spokeAt, settleMs * SILENT_SHARE);
-  return { since: isRunning ? before.since : now, spokeAt: now };
+): LinkActivity {
+  const isRunning = before && now < later(before.lastSentAt, settleMs * SILENT_SHARE);
+  return { since: isRunning ? before.since : now, lastSentAt: now };
 }
 
 /** `heardAt`: when the peer was last heard of over any link; one that never was is not known to answer. */
-export function isSilent(
-  { since }: Conversation,
+export function isLinkUnresponsive(
+  { since }: LinkActivity,
   heardAt: MonoTime | undefined,
   now: MonoTime,
   settleMs: number,
--- a/src/core/gateway/polling.ts
+++ b/src/core/gateway/polling.ts
@@ -24,14 +24,14 @@
  */
 const CALL_SHARE = 0.7;
 
-export interface PollNeeds {
+export interface PollParams {
   readonly now: MonoTime;
   /** A disturbed daemon keeps its promises again after this, milliseconds. */
   readonly settleMs: number;
   /** How long the store should hold the call for a change, where nothing speaks against it. */
-  readonly wishedMs: number;
+  readonly preferredWaitMs: number;
   /** Until when a peer's word shows that what is known here is young enough. */
-  readonly trustedUntil: MonoTime;
+  readonly freshUntil: MonoTime;
   /** The last call had no answer. */
   readonly isFailing: boolean;
 }
@@ -49,14 +49,14 @@
 }
 
 /** Longest time that a call may stay out while nobody else vouches for what is known, milliseconds. */
-export function longestCallMs(settleMs: number): number {
+export function maxCallMs(settleMs: number): number {
   return settleMs * CALL_SHARE;
 }
 
 /** What the next poll asks for. After a failure the store is only asked whether it is back. */
-export function planPoll(needs: PollNeeds): Poll {
-  const { now, settleMs, wishedMs, trustedUntil, isFailing } = needs;
-  const longestMs = longestCallMs(settleMs);
+export function planPoll(needs: PollParams): Poll {
+  const { now, settleMs, preferredWaitMs: wishedMs, freshUntil: trustedUntil, isFailing } = needs;
+  const longestMs = maxCallMs(settleMs);
   const renewAt = later(now, longestMs);
   if (isFailing) return { waitMs: 0, dueAt: later(now, ANSWER_MS), renewAt, overdueAt: renewAt };
   const isTrusted = now < trustedUntil;
@@ -65,9 +65,9 @@
   return { waitMs, dueAt, renewAt, overdueAt: dueAt };
 }
 
-export interface PollFacts {
+export interface PollProgress {
   readonly now: MonoTime;
-  readonly trustedUntil: MonoTime;
+  readonly freshUntil: MonoTime;
   /** When the store last answered any call of this daemon. */
   readonly answeredAt?: MonoTime;
 }
@@ -76,10 +76,13 @@
  * `overdue`: no answer will come, and the store counts as lost; `renew`: an answer may still come, but
  * what is known here has grown too old to wait for it.
  */
-export type PollVerdict = 'wait' | 'renew' | 'overdue';
+export type PollDecision = 'wait' | 'renew' | 'overdue';
 
 /** Whether to go on waiting for the answer. */
-export function judgePoll(poll: Poll, { now, trustedUntil, answeredAt }: PollFacts): PollVerdict {
+export function checkPoll(
+  poll: Poll,
+  { now, freshUntil: trustedUntil, answeredAt }: PollProgress,
+): PollDecision {
   const isOvertaken = answeredAt !== undefined && answeredAt >= poll.dueAt;
   if (isOvertaken || now >= poll.overdueAt) return 'overdue';
   return now >= poll.renewAt && now >= trustedUntil ? 'renew' : 'wait';
--- a/src/core/gateway/progress.ts
+++ b/src/core/gateway/progress.ts
@@ -10,14 +10,18 @@
 
 export interface ProgressOptions {
   /** Silence of a group with streams running that is evidence of a fault, in usual pauses between events. */
-  readonly pauses: number;
+  readonly stallPauses: number;
   /** Least silence, milliseconds: prompts that are read between the tokens of others hold all streams up. */
-  readonly leastMs: number;
+  readonly minStallMs: number;
   /** Weight of the latest pause in the running mean. */
   readonly smoothing: number;
 }
 
-export const PROGRESS_DEFAULTS: ProgressOptions = { pauses: 6, leastMs: 500, smoothing: 0.2 };
+export const PROGRESS_DEFAULTS: ProgressOptions = {
+  stallPauses: 6,
+  minStallMs: 500,
+  smoothing: 0.2,
+};
 
 /** What this daemon saw of one group. */
 export interface Progress {
@@ -26,7 +30,7 @@
   /** How many of them have given an event. */
   readonly started: number;
   /** Tokens of the prompts of the others. */
-  readonly unread: number;
+  readonly pendingPrefill: number;
   /** The group is expected to show life from here on: its latest event, or the send that ended an idle time. */
   readonly since: MonoTime;
   /** Mean pause between events of a stream, milliseconds; undefined until two were seen. */
@@ -36,13 +40,20 @@
 }
 
 export function createProgress(now: MonoTime): Progress {
-  return { running: 0, started: 0, unread: 0, since: now, pauseMs: undefined, eventAt: undefined };
+  return {
+    running: 0,
+    started: 0,
+    pendingPrefill: 0,
+    since: now,
+    pauseMs: undefined,
+    eventAt: undefined,
+  };
 }
 
 export function noteSent(progress: Progress, now: MonoTime, promptTokens: number): Progress {
   const since = progress.running === 0 ? now : progress.since;
-  const unread = progress.unread + promptTokens;
-  return { ...progress, running: progress.running + 1, unread, since };
+  const unread = progress.pendingPrefill + promptTokens;
+  return { ...progress, running: progress.running + 1, pendingPrefill: unread, since };
 }
 
 /** A request has ended; `unread` is its prompt where it gave no event. */
@@ -53,14 +64,18 @@
     ...progress,
     running,
     started: Math.max(0, Math.min(running, started)),
-    unread: Math.max(0, progress.unread - unread),
+    pendingPrefill: Math.max(0, progress.pendingPrefill - unread),
   };
 }
 
 /** The first event of a request: its prompt has been read. */
-export function noteRead(progress: Progress, promptTokens: number): Progress {
+export function notePrefilled(progress: Progress, promptTokens: number): Progress {
   const started = Math.min(progress.running, progress.started + 1);
-  return { ...progress, started, unread: Math.max(0, progress.unread - promptTokens) };
+  return {
+    ...progress,
+    started,
+    pendingPrefill: Math.max(0, progress.pendingPrefill - promptTokens),
+  };
 }
 
 /** Takes in an event of any of the group's streams; `pauseMs` is the time since that stream's last one. */
@@ -76,7 +91,7 @@
 }
 
 /** Pause between events of a stream in a group that runs `running` requests, by the published figures. */
-export function usualPauseMs(engine: EngineSpec, pace: number, running: number): number {
+export function expectedPauseMs(engine: EngineSpec, pace: number, running: number): number {
   const contextK = (engine.usual.prompt + engine.usual.answer) / 1000;
   const perRequest = engine.perRequestMs + engine.perContextKMs * contextK;
   return pace * engine.stepsPerPass * (engine.stepMs + perRequest * running);
@@ -85,7 +100,7 @@
 /** How long a usual request holds a place in a group that runs `running` requests, by the published figures. */
 export function publishedHoldMs(engine: EngineSpec, pace: number, running: number): number {
   const { prompt, answer } = engine.usual;
-  const stepMs = usualPauseMs(engine, pace, running) / engine.stepsPerPass;
+  const stepMs = expectedPauseMs(engine, pace, running) / engine.stepsPerPass;
   return (pace * prompt) / engine.prefillTokensPerMs + answer * stepMs;
 }
 
@@ -110,7 +125,7 @@
   progress: Progress,
   usualMs: number,
   readingMs: number,
-  { pauses, leastMs }: ProgressOptions = PROGRESS_DEFAULTS,
+  { stallPauses: pauses, minStallMs: leastMs }: ProgressOptions = PROGRESS_DEFAULTS,
 ): MonoTime | undefined {
   if (progress.running === 0) return undefined;
   const expected = Math.max(usualMs, progress.pauseMs ?? 0);
@@ -130,7 +145,7 @@
  * events alone shows little: prompts are read in turn, and the group may be full. Those whose streams
  * had begun see a fault at once.
  */
-export function stalledBesideOthersAt(
+export function sharedGroupStalledAt(
   progress: Progress,
   usualMs: number,
   readingMs: number,
@@ -149,12 +164,12 @@
  * Prompt tokens that may wait in a group at a time. A pass of the engine that reads prompts holds up
  * the next events of all streams, which must not wait for longer than `gapMs`.
  */
-export function readableTokens(
+export function maxPrefillTokens(
   engine: EngineSpec,
   pace: number,
   running: number,
   gapMs: number,
 ): number {
-  const readingMs = READING_SHARE * gapMs - usualPauseMs(engine, pace, running);
+  const readingMs = READING_SHARE * gapMs - expectedPauseMs(engine, pace, running);
   return Math.max(engine.usual.prompt, (readingMs / pace) * engine.prefillTokensPerMs);
 }
--- a/src/core/gateway/retry-budget.ts
+++ b/src/core/gateway/retry-budget.ts
@@ -14,7 +14,7 @@
 export interface FleetAllowance {
   readonly ratio: number;
   /** A further share, of the requests of the last window, that may be saved up. */
-  readonly carriedRatio?: number;
+  readonly burstRatio?: number;
   readonly slack: number;
   readonly windowMs: number;
   /** Daemons that the fixed number is divided by. */
@@ -22,9 +22,9 @@
 }
 
 export interface FleetBudget {
-  readonly saved: number;
+  readonly tokens: number;
   /** Requests sent for the first time within about a window. */
-  readonly recent: number;
+  readonly recentRequests: number;
   readonly at: MonoTime;
 }
 
@@ -38,19 +38,19 @@
  * what they get; a fleet whose every restart began with a fresh part would spend more than its allowance.
  */
 export function createFleetBudget(now: MonoTime): FleetBudget {
-  return { saved: 0, recent: 0, at: now };
+  return { tokens: 0, recentRequests: 0, at: now };
 }
 
 /** Most that may be saved; a retry is always whole. */
 function mostSaved(allowance: FleetAllowance, recent: number): number {
-  return Math.max(1, halfSlack(allowance) + (allowance.carriedRatio ?? 0) * recent);
+  return Math.max(1, halfSlack(allowance) + (allowance.burstRatio ?? 0) * recent);
 }
 
 function refill(budget: FleetBudget, allowance: FleetAllowance, now: MonoTime): FleetBudget {
   const windows = Math.max(0, now - budget.at) / allowance.windowMs;
-  const recent = budget.recent * Math.exp(-windows);
-  const saved = budget.saved + halfSlack(allowance) * windows;
-  return { saved: Math.min(mostSaved(allowance, recent), saved), recent, at: now };
+  const recent = budget.recentRequests * Math.exp(-windows);
+  const saved = budget.tokens + halfSlack(allowance) * windows;
+  return { tokens: Math.min(mostSaved(allowance, recent), saved), recentRequests: recent, at: now };
 }
 
 /** A request was sent for the first time. */
@@ -60,9 +60,9 @@
   now: MonoTime,
 ): FleetBudget {
   const refilled = refill(budget, allowance, now);
-  const recent = refilled.recent + 1;
-  const saved = Math.min(mostSaved(allowance, recent), refilled.saved + allowance.ratio);
-  return { ...refilled, recent, saved };
+  const recent = refilled.recentRequests + 1;
+  const saved = Math.min(mostSaved(allowance, recent), refilled.tokens + allowance.ratio);
+  return { ...refilled, recentRequests: recent, tokens: saved };
 }
 
 /** Undefined if no retry is left. */
@@ -72,5 +72,5 @@
   now: MonoTime,
 ): FleetBudget | undefined {
   const refilled = refill(budget, allowance, now);
-  return refilled.saved < 1 ? undefined : { ...refilled, saved: refilled.saved - 1 };
+  return refilled.tokens < 1 ? undefined : { ...refilled, tokens: refilled.tokens - 1 };
 }
--- a/src/core/gateway/routes.ts
+++ b/src/core/gateway/routes.ts
@@ -74,6 +74,6 @@
 }
 
 /** The organisation's name, where one is known. */
-export function nameOf(caller: Caller): OrganisationId | undefined {
+export function organisationNameOf(caller: Caller): OrganisationId | undefined {
   return caller.kind === 'known' ? caller.organisation.name : undefined;
 }
--- a/src/core/gateway/server-backoff.ts
+++ b/src/core/gateway/server-backoff.ts
@@ -8,12 +8,17 @@
 import { later } from '../ids';
 
 /** Until when each server wants nothing from here. */
-export type Rests = ReadonlyMap<InstanceId, MonoTime>;
+export type Backoffs = ReadonlyMap<InstanceId, MonoTime>;
 
 /** A server that asks for more is asked again after this, milliseconds: nobody is left out for ever by one answer. */
 const LONGEST_MS = 300_000;
 
-export function noteRest(rests: Rests, server: InstanceId, restMs: number, now: MonoTime): Rests {
+export function noteBackoff(
+  rests: Backoffs,
+  server: InstanceId,
+  restMs: number,
+  now: MonoTime,
+): Backoffs {
   const until = later(now, Math.min(LONGEST_MS, restMs));
   const before = rests.get(server);
   if (until <= now || (before !== undefined && before >= until)) return rests;
@@ -22,7 +27,7 @@
 }
 
 /** Milliseconds; 0 where the server does not rest. */
-export function restLeftMs(rests: Rests, server: InstanceId, now: MonoTime): number {
+export function backoffRemainingMs(rests: Backoffs, server: InstanceId, now: MonoTime): number {
   const until = rests.get(server);
   return until === undefined ? 0 : Math.max(0, until - now);
 }
--- a/src/core/gateway/stall-quorum.ts
+++ b/src/core/gateway/stall-quorum.ts
@@ -18,7 +18,7 @@
 }
 
 /** Reports of late, by group. */
-export type Witnesses = ReadonlyMap<GroupId, readonly Report[]>;
+export type StallReports = ReadonlyMap<GroupId, readonly Report[]>;
 
 /** Reports of different daemons within this time speak of the same silence: some ten events, milliseconds. */
 const TOGETHER_MS = 600;
@@ -27,12 +27,12 @@
 const MEMORY_MS = 4_000;
 
 /** Enters a report, and forgets old ones. */
-export function noteWitness(
-  witnesses: Witnesses,
+export function noteStallReport(
+  witnesses: StallReports,
   group: GroupId,
   reporter: DaemonId,
   now: MonoTime,
-): Witnesses {
+): StallReports {
   const next = new Map<GroupId, readonly Report[]>();
   for (const [id, reports] of witnesses) {
     const fresh = reports.filter(({ at }) => now < later(at, MEMORY_MS));
@@ -56,7 +56,7 @@
 const ALIVE_MS = 350;
 
 /** What the daemon that judges knows of the group beside the reports. */
-export interface GroupFacts {
+export interface GroupActivity {
   /** Requests of others in it. */
   readonly running: number;
   /** When it last gave an event to any daemon, as far as is known. */
@@ -64,10 +64,10 @@
 }
 
 /** Whether enough daemons saw the group stand still, or one saw it again and again. */
-export function isConfirmed(
-  witnesses: Witnesses,
+export function isStallConfirmed(
+  witnesses: StallReports,
   group: GroupId,
-  { running, eventAt }: GroupFacts,
+  { running, eventAt }: GroupActivity,
   now: MonoTime,
 ): boolean {
   if (eventAt !== undefined && now < later(eventAt, ALIVE_MS)) return false;
--- a/src/core/gateway/succession.ts
+++ b/src/core/gateway/succession.ts
@@ -10,9 +10,9 @@
 import { rankByRendezvous } from '../membership/rendezvous';
 
 /** Processor cores by daemon. */
-export type Strengths = ReadonlyMap<DaemonId, number>;
+export type CoreCounts = ReadonlyMap<DaemonId, number>;
 
-export function rankSuccessors(lease: string, strengths: Strengths): readonly DaemonId[] {
+export function rankSuccessors(lease: string, strengths: CoreCounts): readonly DaemonId[] {
   const coresOf = (id: DaemonId): number => strengths.get(id) ?? 0;
   return [...rankByRendezvous(lease, [...strengths.keys()])].sort(
     (a, b) => coresOf(b) - coresOf(a),
@@ -27,6 +27,6 @@
  * behind look only once the ones before them have had their turns: hundreds that ask the store together
  * for a lease that one of them may take are a load and bring nothing.
  */
-export function readDelayMs(rank: number, turnMs: number): number {
+export function leaseReadDelayMs(rank: number, turnMs: number): number {
   return Math.max(0, rank - FIRST_READERS) * turnMs;
 }
--- a/src/core/gateway/suspicion.ts
+++ b/src/core/gateway/suspicion.ts
@@ -29,7 +29,7 @@
 export interface Suspicion {
   readonly until: MonoTime;
   /** How often in a row the group disappointed. */
-  readonly times: number;
+  readonly consecutiveFailures: number;
 }
 
 export type Suspicions = ReadonlyMap<GroupId, Suspicion>;
@@ -56,7 +56,10 @@
   );
   const known = next.get(group);
   const isHeld = known !== undefined && now < known.until;
-  const times = isHeld ? known.times : (known?.times ?? 0) + 1;
+  const times = isHeld ? known.consecutiveFailures : (known?.consecutiveFailures ?? 0) + 1;
   const until = later(now, holdMs(evidence, times));
-  return next.set(group, { times, until: known && known.until > until ? known.until : until });
+  return next.set(group, {
+    consecutiveFailures: times,
+    until: known && known.until > until ? known.until : until,
+  });
 }
--- a/src/core/gateway/waiting-order.ts
+++ b/src/core/gateway/waiting-order.ts
@@ -44,6 +44,6 @@
 }
 
 /** The mean holding time of a kind once one more request has ended. */
-export function noteHold(mean: number | undefined, holdMs: number): number {
+export function smoothHoldMs(mean: number | undefined, holdMs: number): number {
   return mean === undefined ? holdMs : mean + HOLD_SMOOTHING * (holdMs - mean);
 }
--- a/src/core/groups/domain.ts
+++ b/src/core/groups/domain.ts
@@ -32,7 +32,7 @@
   withInfo,
   restartSilence,
   withView,
-} from './sightings';
+} from './observations';
 import type { Versioned } from './types';
 
 type DomainStep = Step<DomainState, DomainEffect>;
--- a/src/core/groups/forming-estimates.ts
+++ b/src/core/groups/forming-estimates.ts
@@ -38,7 +38,11 @@
 }
 
 /** Learns from a group that became routable. */
-export function recordFormingTime(state: FormingEstimates, group: GroupId, now: MonoTime): FormingEstimates {
+export function recordFormingTime(
+  state: FormingEstimates,
+  group: GroupId,
+  now: MonoTime,
+): FormingEstimates {
   const known = state.forming[group];
   if (!known) return state;
   const took = now - known.since;
--- a/src/core/groups/health.ts
+++ b/src/core/groups/health.ts
@@ -36,7 +36,9 @@
   if (view.silentSince === undefined) return undefined;
   const silence = now - view.silentSince;
   if (silence < state.settings.unresponsiveMs) return undefined;
-  return view.peerConfirmedUntil !== undefined && now < view.peerConfirmedUntil ? undefined : silence;
+  return view.peerConfirmedUntil !== undefined && now < view.peerConfirmedUntil
+    ? undefined
+    : silence;
 }
 
 export function isLeaving(view: InstanceView | undefined): boolean {
@@ -45,7 +47,11 @@
 }
 
 /** Off the platform's list and silent: it will not come back. */
-export function isRemoved(state: DomainState, view: InstanceView | undefined, now: MonoTime): boolean {
+export function isRemoved(
+  state: DomainState,
+  view: InstanceView | undefined,
+  now: MonoTime,
+): boolean {
   return view !== undefined && !view.facts && unresponsiveFor(state, view, now) !== undefined;
 }
 
--- a/src/core/groups/lifecycle.ts
+++ b/src/core/groups/lifecycle.ts
@@ -73,7 +73,9 @@
   if (!plan || (row.slot ?? 0) >= plan.replicas || !isServing(state, row, now)) return false;
   const others = groupsOf(state).filter(({ id, model }) => model === row.model && id !== row.id);
   const isOpen = state.openSlots.some(({ model }) => model === row.model);
-  return isOpen || others.some((other) => other.phase !== 'serving' || !isServing(state, other, now));
+  return (
+    isOpen || others.some((other) => other.phase !== 'serving' || !isServing(state, other, now))
+  );
 }
 
 function replaceSilent(state: DomainState, row: GroupRow, now: MonoTime) {
--- a/src/core/groups/orders.ts
+++ b/src/core/groups/orders.ts
@@ -170,8 +170,11 @@
 ): void {
   const plan = planOf(state, row);
   if (plan?.policies.replace !== 'preload') return;
-  const needed = new Set([...unresponsiveMembers(state, row, now), ...leavingMembers(state, row)]).size;
-  const free = CHOOSE_POLICIES[plan.policies.choose](state, plan, now).filter((id) => !wanted.has(id));
+  const needed = new Set([...unresponsiveMembers(state, row, now), ...leavingMembers(state, row)])
+    .size;
+  const free = CHOOSE_POLICIES[plan.policies.choose](state, plan, now).filter(
+    (id) => !wanted.has(id),
+  );
   for (const id of free.slice(0, needed)) wanted.set(id, plan.id);
 }
 
--- a/src/core/groups/policies.ts
+++ b/src/core/groups/policies.ts
@@ -27,7 +27,9 @@
 }
 
 /** Whether to replace now; otherwise the member may still come back. */
-export const REPLACE_POLICIES: Readonly<Record<ReplacePolicy, (found: ReplacementCase) => boolean>> = {
+export const REPLACE_POLICIES: Readonly<
+  Record<ReplacePolicy, (found: ReplacementCase) => boolean>
+> = {
   timeout: ({ silentMs, settings }) => silentMs >= settings.replaceAfterMs,
   // A cold spare fetches weights while the member may still return; whichever is first serves.
   preload: ({ silentMs, warm, settings }) =>
--- a/src/core/groups/rank.ts
+++ b/src/core/groups/rank.ts
@@ -48,7 +48,11 @@
   readonly score: number;
 }
 
-function placeOf(role: number, { candidate, hash }: HashedCandidate<Candidate>, zone?: string): Place {
+function placeOf(
+  role: number,
+  { candidate, hash }: HashedCandidate<Candidate>,
+  zone?: string,
+): Place {
   const near = zone !== undefined && candidate.zone === zone;
   return { id: candidate.id, near, score: mix(role ^ hash) };
 }
--- a/src/core/groups/shortfall.ts
+++ b/src/core/groups/shortfall.ts
@@ -51,7 +51,11 @@
 }
 
 /** The totals after a shortfall lasted for `ms` milliseconds. */
-export function addShortfall(totals: ShortfallTotals, short: Shortfall, ms: number): ShortfallTotals {
+export function addShortfall(
+  totals: ShortfallTotals,
+  short: Shortfall,
+  ms: number,
+): ShortfallTotals {
   const seconds = ms / MS_PER_SECOND;
   return {
     downtime: addScaled(totals.downtime, short.down, seconds),
--- a/src/core/membership/dissemination.ts
+++ b/src/core/membership/dissemination.ts
@@ -124,7 +124,11 @@
   const rumour = state.rumours.get(id);
   if (rumour === undefined || state.entries.get(id)?.version !== entry.version) return state;
   const sentTo = new Set(rumour.sentTo).add(from);
-  const rumours = new Map(state.rumours).set(id, { ...rumour, sendsRemaining: rumour.sendsRemaining - 1, sentTo });
+  const rumours = new Map(state.rumours).set(id, {
+    ...rumour,
+    sendsRemaining: rumour.sendsRemaining - 1,
+    sentTo,
+  });
   return { ...state, rumours };
 }
 
@@ -156,7 +160,11 @@
 }
 
 /** Puts an entry made here and passes it on at once. */
-export function broadcast(state: MembershipState, entry: Entry, ctx: MembershipContext): MembershipStep {
+export function broadcast(
+  state: MembershipState,
+  entry: Entry,
+  ctx: MembershipContext,
+): MembershipStep {
   return chain(
     state,
     (current) => putEntry(current, entry, undefined, ctx),
--- a/src/core/membership/membership.ts
+++ b/src/core/membership/membership.ts
@@ -15,7 +15,7 @@
   handleNack,
   handleRelay,
 } from './probing';
-import { announce, flush, handleEntries, broadcast } from './spread';
+import { announce, flush, handleEntries, broadcast } from './dissemination';
 import { chain, send, unchanged } from './state';
 import type { MembershipState, MembershipStep } from './state';
 import {
--- a/src/core/membership/probing.ts
+++ b/src/core/membership/probing.ts
@@ -9,7 +9,7 @@
 import { later } from '../ids';
 import { next } from '../reducer';
 import { failedMemberEntry } from './members';
-import { broadcast } from './spread';
+import { broadcast } from './dissemination';
 import { chain, presentOthers, sample, send, unchanged } from './state';
 import type { MembershipState, MembershipStep, Probe } from './state';
 import type { MembershipContext, MembershipEffect } from './types';
@@ -67,7 +67,11 @@
   if (!member || member.state === 'dead' || member.state === 'suspect') return unchanged(state);
   // A daemon that was leaving has left.
   const fallen = member.state === 'leaving' ? 'dead' : 'suspect';
-  return broadcast(state, failedMemberEntry(member, fallen, ctx.epoch, ctx.settings.deadTtlMs), ctx);
+  return broadcast(
+    state,
+    failedMemberEntry(member, fallen, ctx.epoch, ctx.settings.deadTtlMs),
+    ctx,
+  );
 }
 
 function endProbe(state: MembershipState, probe: Probe, ctx: MembershipContext): MembershipStep {
@@ -85,7 +89,11 @@
   target: DaemonId,
   ctx: MembershipContext,
 ): MembershipStep {
-  return startProbe({ ...state, probeAt: later(ctx.now, ctx.settings.probeIntervalMs) }, target, ctx);
+  return startProbe(
+    { ...state, probeAt: later(ctx.now, ctx.settings.probeIntervalMs) },
+    target,
+    ctx,
+  );
 }
 
 /** Goes on with the probe whose answer is late. */
@@ -98,7 +106,10 @@
 }
 
 /** Tells those who asked that a relayed probe had no answer. */
-export function expireRelayedProbes(state: MembershipState, ctx: MembershipContext): MembershipStep {
+export function expireRelayedProbes(
+  state: MembershipState,
+  ctx: MembershipContext,
+): MembershipStep {
   const late = state.relayed.filter((relay) => ctx.now >= relay.until);
   if (late.length === 0) return unchanged(state);
   const relayed = state.relayed.filter((relay) => ctx.now < relay.until);
@@ -112,7 +123,11 @@
   const steps = over.map(([id]) => (current: MembershipState) => {
     const member = current.members.get(id);
     if (member?.state !== 'suspect') return unchanged(current);
-    return broadcast(current, failedMemberEntry(member, 'dead', ctx.epoch, ctx.settings.deadTtlMs), ctx);
+    return broadcast(
+      current,
+      failedMemberEntry(member, 'dead', ctx.epoch, ctx.settings.deadTtlMs),
+      ctx,
+    );
   });
   return chain(state, ...steps);
 }
--- a/src/core/retry/decide.ts
+++ b/src/core/retry/decide.ts
@@ -18,13 +18,14 @@
   'not-sent' | 'refused' | 'wrong-group' | 'lost' | 'bad-answer' | 'given-up';
 
 /** What an attempt that failed so means for the submission's exposure. */
-export const EXPOSURE_BY_FAILURE: Readonly<Record<Exclude<AttemptFailure, 'given-up'>, Exposure>> = {
-  'not-sent': 'none',
-  refused: 'refused',
-  'wrong-group': 'refused',
-  lost: 'exposed',
-  'bad-answer': 'exposed',
-};
+export const EXPOSURE_BY_FAILURE: Readonly<Record<Exclude<AttemptFailure, 'given-up'>, Exposure>> =
+  {
+    'not-sent': 'none',
+    refused: 'refused',
+    'wrong-group': 'refused',
+    lost: 'exposed',
+    'bad-answer': 'exposed',
+  };
 
 /** How each failure is treated. */
 interface RetryRule {
--- a/src/core/retry/quarantine.ts
+++ b/src/core/retry/quarantine.ts
@@ -104,7 +104,10 @@
 }
 
 /** All requests blamed for the latest loss that this one met, itself included; in order. */
-export function jointSuspects(state: QuarantineState, fingerprint: Fingerprint): readonly Fingerprint[] {
+export function jointSuspects(
+  state: QuarantineState,
+  fingerprint: Fingerprint,
+): readonly Fingerprint[] {
   const all = allStrikes(state);
   const own = all.filter((strike) => strike.fingerprint === fingerprint);
   const latest = own.sort((a, b) => b.at - a.at)[0];
--- a/src/core/routing/policies.ts
+++ b/src/core/routing/policies.ts
@@ -114,7 +114,10 @@
 }
 
 /** Load and cache weighed for every group; a hit outweighs a bounded difference of load alone. */
-function chooseByAffinity(groups: readonly GroupState[], choice: ChoiceContext): GroupState | undefined {
+function chooseByAffinity(
+  groups: readonly GroupState[],
+  choice: ChoiceContext,
+): GroupState | undefined {
   const { state, keys, ctx } = choice;
   const { cacheBonus, homePrior, overflowCost } = state.opts;
   const [key] = keys;
--- a/src/core/routing/routing.ts
+++ b/src/core/routing/routing.ts
@@ -12,7 +12,13 @@
 import { hashText } from './hash';
 import { adjustInFlight, createLoad, estimateLoad, applyLoadReport } from './load';
 import { ROUTING_POLICIES } from './policies';
-import { addSample, countEjected, createAverage, eligibleGroups, updateEjections } from './stragglers';
+import {
+  addSample,
+  countEjected,
+  createAverage,
+  eligibleGroups,
+  updateEjections,
+} from './stragglers';
 import { ROUTING_DEFAULTS } from './types';
 import type {
   CacheEvents,
@@ -61,7 +67,9 @@
   sweepIfDue(state, ctx.now);
   const policy = ROUTING_POLICIES[state.opts.policy];
   const open = known.filter((group) => offered.has(group.id));
-  const groups = policy.ejectsStragglers ? eligibleGroups(open, ctx.now, state.opts, ctx.random) : open;
+  const groups = policy.ejectsStragglers
+    ? eligibleGroups(open, ctx.now, state.opts, ctx.random)
+    : open;
   const keys = req.prefixKeys.map((key) => affinityKey(req.organisation, key));
   const chosen = policy.choose(groups, { state, model, keys, ctx });
   return { state, group: chosen && offered.get(chosen.id) };
--- a/src/ports/gateway.ts
+++ b/src/ports/gateway.ts
@@ -34,7 +34,11 @@
   /** The whole collection. */
   load(): ResultAsync<Changes<T>, StepError>;
   /** Waits up to `waitMs` for changes after `position`; fails at once when `signal` aborts. */
-  poll(position: StorePosition, waitMs: number, signal: AbortSignal): ResultAsync<Changes<T>, StepError>;
+  poll(
+    position: StorePosition,
+    waitMs: number,
+    signal: AbortSignal,
+  ): ResultAsync<Changes<T>, StepError>;
 }
 
 /** Rows of the product's own, as of one era of the store. */
--- a/tests/fuzz/ledger-world.ts
+++ b/tests/fuzz/ledger-world.ts
@@ -16,7 +16,8 @@
   | { readonly kind: 'read' }
   | { readonly kind: 'wait' };
 
-export type CallerOutcome = 'done' | 'not-run' | 'unknown' | 'replayed' | 'in-progress' | 'key-reused';
+export type CallerOutcome =
+  'done' | 'not-run' | 'unknown' | 'replayed' | 'in-progress' | 'key-reused';
 
 export interface Submission {
   readonly id: string;
--- a/tests/fuzz/limits-world.ts
+++ b/tests/fuzz/limits-world.ts
@@ -4,9 +4,9 @@
  */
 
 import { createRandom } from '../../src/adapters/runtime';
-import { createRateLimits } from '../../src/app/gateway/limits';
-import type { RateLimits } from '../../src/app/gateway/limits';
-import { listSilent } from '../../src/core/gateway/limits/share';
+import { createRateLimits } from '../../src/app/gateway/rate-limits';
+import type { RateLimits } from '../../src/app/gateway/rate-limits';
+import { listUnresponsive } from '../../src/core/gateway/limits/share';
 import { brandAs } from '../../src/core/ids';
 import type { DaemonId, EpochTime, MonoTime } from '../../src/core/ids';
 import { instance, makeContext } from '../gateway/support';
@@ -142,7 +142,7 @@
     }
     const fresh = freshMs(daemon.heardAt.size);
     const heard = [...daemon.heardAt].flatMap(([id, at]) => (now < at + fresh ? [id] : []));
-    return listSilent(ids, new Set([daemon.id, ...heard]));
+    return listUnresponsive(ids, new Set([daemon.id, ...heard]));
   };
 
   const makeDaemonLimits = (id: DaemonId, daemon: () => Daemon): RateLimits =>
--- a/tests/gateway/capacity.test.ts
+++ b/tests/gateway/capacity.test.ts
@@ -2,47 +2,54 @@
 
 import { createRandom } from '../../src/adapters/runtime';
 import {
-  accessTo,
+  slotAccessFor,
   departuresIn,
-  expectDemand,
-  grantPlaces,
-  lateShare,
-  mostQueued,
+  expectLoad,
+  grantSlots,
+  lateQuota,
+  maxQueued,
   onTimeShare,
-  reuseChance,
-  roomIn,
-} from '../../src/core/gateway/room';
+  reuseProbability,
+  freeCapacityOf,
+} from '../../src/core/gateway/capacity';
 import { instance } from './support';
 
 const BUSY = {
-  ...{ running: 12, batchSize: 18, queued: 2, departing: 0, unread: 0, maxUnread: 8_000 },
-  ...{ usualPrompt: 1_000, readMeanwhile: 4 },
+  ...{
+    running: 12,
+    batchSize: 18,
+    queued: 2,
+    departing: 0,
+    pendingPrefill: 0,
+    maxPendingPrefill: 8_000,
+  },
+  ...{ meanPromptTokens: 1_000, prefillsUntilUpdate: 4 },
 };
 
 describe('the room in a group', () => {
   it('is what its places leave, and a few requests that take each place as it becomes free', () => {
-    expect(roomIn(BUSY)).toBe(8);
-    expect(roomIn({ ...BUSY, queued: 0 })).toBe(6);
+    expect(freeCapacityOf(BUSY)).toBe(8);
+    expect(freeCapacityOf({ ...BUSY, queued: 0 })).toBe(6);
   });
 
   it('has a queue that is passed within half of the time that requests may wait', () => {
-    expect(mostQueued(18, { slackMs: 200, holdMs: 1_800 })).toBe(1);
-    expect(mostQueued(34, { slackMs: 200, holdMs: 400 })).toBe(9);
-    expect(mostQueued(34, { slackMs: 500, holdMs: 100 })).toBe(17);
-    expect(mostQueued(18, { slackMs: 0, holdMs: 0 })).toBe(0);
+    expect(maxQueued(18, { slackMs: 200, holdMs: 1_800 })).toBe(1);
+    expect(maxQueued(34, { slackMs: 200, holdMs: 400 })).toBe(9);
+    expect(maxQueued(34, { slackMs: 500, holdMs: 100 })).toBe(17);
+    expect(maxQueued(18, { slackMs: 0, holdMs: 0 })).toBe(0);
   });
 
   it('is what can be read, where prompts wait to be read', () => {
-    expect(roomIn({ ...BUSY, unread: 7_000, readMeanwhile: 1 })).toBe(2);
-    expect(roomIn({ ...BUSY, unread: 9_000, readMeanwhile: 0 })).toBe(0);
+    expect(freeCapacityOf({ ...BUSY, pendingPrefill: 7_000, prefillsUntilUpdate: 1 })).toBe(2);
+    expect(freeCapacityOf({ ...BUSY, pendingPrefill: 9_000, prefillsUntilUpdate: 0 })).toBe(0);
   });
 
   it('is none in an overfull group', () => {
-    expect(roomIn({ ...BUSY, running: 40 })).toBe(0);
+    expect(freeCapacityOf({ ...BUSY, running: 40 })).toBe(0);
   });
 
   it('counts the requests that will have ended when loads are heard of again', () => {
-    expect(roomIn({ ...BUSY, running: 18, departing: 5 })).toBe(7);
+    expect(freeCapacityOf({ ...BUSY, running: 18, departing: 5 })).toBe(7);
     expect(departuresIn({ running: 18, batchSize: 18 }, 400, 1_200)).toBe(6);
     expect(departuresIn({ running: 30, batchSize: 18 }, 400, 1_200)).toBe(6);
     expect(departuresIn({ running: 18, batchSize: 18 }, 400, 100)).toBe(18);
@@ -52,46 +59,46 @@
 describe('what is asked for', () => {
   it('can be on time as far as it came of late, and the rest is late', () => {
     const ages = { agedMs: 500, slackMs: 200 };
-    expect(expectDemand({ waiting: 30, perSecond: 50 }, ages)).toEqual({ onTime: 35, late: 20 });
-    expect(expectDemand({ waiting: 4, perSecond: 50 }, ages)).toEqual({ onTime: 29, late: 0 });
+    expect(expectLoad({ waiting: 30, perSecond: 50 }, ages)).toEqual({ onTime: 35, late: 20 });
+    expect(expectLoad({ waiting: 4, perSecond: 50 }, ages)).toEqual({ onTime: 29, late: 0 });
   });
 });
 
 describe('what a request may use', () => {
   const demand = {
-    room: 20,
-    here: { onTime: 2, late: 1 },
-    elsewhere: { onTime: 10, late: 5 },
+    freeCapacity: 20,
+    local: { onTime: 2, late: 1 },
+    remote: { onTime: 10, late: 5 },
   };
-  const scarce = { ...demand, elsewhere: { onTime: 30, late: 5 } };
-  const backlog = { ...demand, elsewhere: { onTime: 10, late: 50 } };
+  const scarce = { ...demand, remote: { onTime: 30, late: 5 } };
+  const backlog = { ...demand, remote: { onTime: 10, late: 50 } };
 
   it('is all room while there is enough for everybody', () => {
-    expect(accessTo(demand, false)).toBe('all');
-    expect(accessTo(demand, true)).toBe('all');
+    expect(slotAccessFor(demand, false)).toBe('all');
+    expect(slotAccessFor(demand, true)).toBe('all');
   });
 
   it('is what its daemon was granted where not all can be on time', () => {
-    expect(accessTo(scarce, false)).toBe('granted');
+    expect(slotAccessFor(scarce, false)).toBe('granted');
   });
 
   it('is what the others leave where it is late', () => {
-    expect(accessTo(scarce, true)).toBe('surplus');
-    expect(lateShare(scarce, 0.99)).toBe(0);
-    expect(accessTo(backlog, true)).toBe('surplus');
-    expect(accessTo(backlog, false)).toBe('all');
+    expect(slotAccessFor(scarce, true)).toBe('surplus');
+    expect(lateQuota(scarce, 0.99)).toBe(0);
+    expect(slotAccessFor(backlog, true)).toBe('surplus');
+    expect(slotAccessFor(backlog, false)).toBe('all');
   });
 
   it('of the surplus is a part by need, as many as there are over all daemons', () => {
     const random = createRandom(3);
     const [daemons, rounds] = [70, 200];
     const demands = {
-      room: 40,
-      here: { onTime: 0.4, late: 3 },
-      elsewhere: { onTime: 0.4 * (daemons - 1), late: 3 * (daemons - 1) },
+      freeCapacity: 40,
+      local: { onTime: 0.4, late: 3 },
+      remote: { onTime: 0.4 * (daemons - 1), late: 3 * (daemons - 1) },
     };
     let sent = 0;
-    for (let n = 0; n < daemons * rounds; n++) sent += lateShare(demands, random.next());
+    for (let n = 0; n < daemons * rounds; n++) sent += lateQuota(demands, random.next());
     expect(sent / rounds).toBeGreaterThan(0.95 * 12);
     expect(sent / rounds).toBeLessThan(1.05 * 12);
   });
@@ -104,13 +111,13 @@
     const random = createRandom(5);
     const [daemons, rounds] = [70, 400];
     const share = onTimeShare({
-      room: 12,
-      here: { onTime: 2, late: 9 },
-      elsewhere: { onTime: 2 * (daemons - 1), late: 0 },
+      freeCapacity: 12,
+      local: { onTime: 2, late: 9 },
+      remote: { onTime: 2 * (daemons - 1), late: 0 },
     });
     const granted = new Map<string, number>();
     for (let n = 0; n < daemons * rounds; n++) {
-      for (const [head, places] of grantPlaces(groups, share, random.next())) {
+      for (const [head, places] of grantSlots(groups, share, random.next())) {
         granted.set(head, (granted.get(head) ?? 0) + places);
       }
     }
@@ -122,7 +129,7 @@
   });
 
   it('are all of them where nobody else asks', () => {
-    expect(grantPlaces(groups, 1, 0)).toEqual([
+    expect(grantSlots(groups, 1, 0)).toEqual([
       ['0', 3],
       ['2', 7],
       ['3', 2],
@@ -134,12 +141,12 @@
   const full = { batchSize: 18, queued: 2, departing: 6 };
 
   it('is used again in a group that has no more than it may have', () => {
-    expect(reuseChance({ ...full, running: 20 })).toBe(1);
+    expect(reuseProbability({ ...full, running: 20 })).toBe(1);
   });
 
   it('is used again less often the more the group has too many', () => {
-    expect(reuseChance({ ...full, running: 20 + 3 })).toBe(0.5);
-    expect(reuseChance({ ...full, running: 20 + 9 })).toBe(0);
-    expect(reuseChance({ ...full, departing: 0, running: 20 + 1 })).toBe(0);
+    expect(reuseProbability({ ...full, running: 20 + 3 })).toBe(0.5);
+    expect(reuseProbability({ ...full, running: 20 + 9 })).toBe(0);
+    expect(reuseProbability({ ...full, departing: 0, running: 20 + 1 })).toBe(0);
   });
 });
--- a/tests/gateway/events.test.ts
+++ b/tests/gateway/events.test.ts
@@ -13,7 +13,7 @@
   return {
     texts: events.map(({ bytes }) => bytes.toString()),
     ids: events.map(({ id }) => id),
-    rest: reader.hasRest(),
+    rest: reader.hasPartialEvent(),
   };
 }
 
--- a/tests/gateway/first-event.test.ts
+++ b/tests/gateway/first-event.test.ts
@@ -1,10 +1,10 @@
 import { describe, expect, it } from 'vitest';
 
 import { noteFirstEvent, slackMs } from '../../src/core/gateway/first-event';
-import type { FirstEvents } from '../../src/core/gateway/first-event';
+import type { FirstEventStats } from '../../src/core/gateway/first-event';
 
-function seen(...samples: readonly number[]): FirstEvents | undefined {
-  return samples.reduce<FirstEvents | undefined>(noteFirstEvent, undefined);
+function seen(...samples: readonly number[]): FirstEventStats | undefined {
+  return samples.reduce<FirstEventStats | undefined>(noteFirstEvent, undefined);
 }
 
 describe('the time that a request may wait and still be on time', () => {
--- a/tests/gateway/fleet-model.ts
+++ b/tests/gateway/fleet-model.ts
@@ -9,18 +9,18 @@
 import { createRandom } from '../../src/adapters/runtime';
 import { createArrivals } from '../../src/app/gateway/arrivals';
 import type { Arrivals } from '../../src/app/gateway/arrivals';
-import { createGroupRegistry } from '../../src/app/gateway/board';
-import type { GroupRegistry } from '../../src/app/gateway/board';
-import type { ServingGroup } from '../../src/app/gateway/directory';
+import { createGroupRegistry } from '../../src/app/gateway/group-registry';
+import type { GroupRegistry } from '../../src/app/gateway/group-registry';
+import type { ServingGroup } from '../../src/app/gateway/group-index';
 import { sumLoads, withoutOwn } from '../../src/app/gateway/loads';
 import type { PeerState } from '../../src/app/gateway/messages';
-import { takeSlot } from '../../src/app/gateway/placing';
-import type { ServerRegistry } from '../../src/app/gateway/roster';
-import { createWaitQueue } from '../../src/app/gateway/waiting';
-import type { WaitQueue } from '../../src/app/gateway/waiting';
+import { takeSlot } from '../../src/app/gateway/take-slot';
+import type { ServerRegistry } from '../../src/app/gateway/server-registry';
+import { createWaitQueue } from '../../src/app/gateway/wait-queue';
+import type { WaitQueue } from '../../src/app/gateway/wait-queue';
 import { noteFirstEvent, slackMs as slackOf } from '../../src/core/gateway/first-event';
-import type { FirstEvents } from '../../src/core/gateway/first-event';
-import { usualPauseMs } from '../../src/core/gateway/progress';
+import type { FirstEventStats } from '../../src/core/gateway/first-event';
+import { expectedPauseMs } from '../../src/core/gateway/progress';
 import type { RouteTable } from '../../src/core/gateway/routes';
 import type { BackendServer } from '../../src/core/gateway/types';
 import { brandAs, later } from '../../src/core/ids';
@@ -97,7 +97,7 @@
 
 const SPEC = ENGINE.models.find(({ name }) => name === SMALL);
 const PACE = SPEC?.pace ?? 1;
-const FULL_PAUSE_MS = usualPauseMs(ENGINE, PACE, ENGINE.batchSize);
+const FULL_PAUSE_MS = expectedPauseMs(ENGINE, PACE, ENGINE.batchSize);
 const READ_MS = (PACE * PROMPT_TOKENS) / ENGINE.prefillTokensPerMs;
 /** Requests a second that a full group serves. */
 const GROUP_RATE = (1_000 * ENGINE.batchSize) / (READ_MS + EVENTS * FULL_PAUSE_MS);
@@ -148,7 +148,7 @@
   let isLed = true;
   const rate = load * count * GROUP_RATE;
 
-  let firstEvents: FirstEvents | undefined;
+  let firstEvents: FirstEventStats | undefined;
   const slackMs = (): number => slackOf(firstEvents, TARGET_MS);
 
   const daemons: ModelDaemon[] = Array.from({ length: size }, (_, n) => {
--- a/tests/gateway/group-registry.test.ts
+++ b/tests/gateway/group-registry.test.ts
@@ -2,20 +2,12 @@
 import { describe, expect, it } from 'vitest';
 
 import { createClock } from '../../src/adapters/runtime';
-import { createGroupRegistry } from '../../src/app/gateway/board';
-import type { ServerRegistry } from '../../src/app/gateway/roster';
+import { createGroupRegistry } from '../../src/app/gateway/group-registry';
+import type { ServerRegistry } from '../../src/app/gateway/server-registry';
 import type { RouteTable } from '../../src/core/gateway/routes';
 import { brandAs, later } from '../../src/core/ids';
 import type { Epoch, GroupId, InstanceId } from '../../src/core/ids';
-import {
-  ENGINE,
-  instance,
-  makeContext,
-  makeThrottle,
-  makeServer,
-  SERVICE,
-  SMALL,
-} from './support';
+import { ENGINE, instance, makeContext, makeThrottle, makeServer, SERVICE, SMALL } from './support';
 
 const TICK_MS = 50;
 const TABLE = {
--- a/tests/gateway/leader.ts
+++ b/tests/gateway/leader.ts
@@ -1,6 +1,6 @@
 /** Runs the plan of groups against a simulated fleet, as the holder of the lease does. */
 
-import { createForming } from '../../src/core/gateway/forming/state';
+import { createFormingState } from '../../src/core/gateway/forming/state';
 import type { FormingMechanism, FormingState } from '../../src/core/gateway/forming/state';
 import { noteResult, noteSuspect, planGroups } from '../../src/core/gateway/forming/plan';
 import type { EngineSpec } from '../../src/core/gateway/types';
@@ -26,7 +26,7 @@
   {
     hasTraffic: startsWithTraffic = false,
     lateMs = () => 0,
-    demand,
+    demand: load,
     engine = ENGINE,
     without = [],
   }: LeaderOptions = {},
@@ -34,7 +34,7 @@
   let hasTraffic = startsWithTraffic;
   let fencing = 1;
   let orders = 0;
-  let state: FormingState = createForming({ without });
+  let state: FormingState = createFormingState({ disabledMechanisms: without });
 
   const step = (): void => {
     fleet.advance(TICK_MS);
@@ -47,7 +47,7 @@
       engine,
       fencing,
       hasTraffic,
-      ...(demand && { demand }),
+      ...(load && { offeredLoad: load }),
     };
     const plan = planGroups(state, view, now);
     state = plan.state;
@@ -65,7 +65,7 @@
     /** Another daemon takes the lease; it knows nothing but what servers report. */
     replace: (): void => {
       fencing += 1;
-      state = createForming({ without });
+      state = createFormingState({ disabledMechanisms: without });
     },
     /** Callers come from now on; the fleet's own loads keep their speed. */
     beginTraffic: (): void => {
--- a/tests/gateway/leaving.test.ts
+++ b/tests/gateway/leaving.test.ts
@@ -3,8 +3,8 @@
 
 import { dialect } from '../../platform/ingress';
 import { HEADERS } from '../../platform/names';
-import { createLeavingServers } from '../../src/app/gateway/leaving';
-import { createServerRegistry } from '../../src/app/gateway/roster';
+import { createLeavingServers } from '../../src/app/gateway/leaving-servers';
+import { createServerRegistry } from '../../src/app/gateway/server-registry';
 import type { BackendServer } from '../../src/core/gateway/types';
 import type { Feed } from '../../src/ports/gateway';
 import { pause } from '../../src/utils/pause';
@@ -28,7 +28,11 @@
         position: position((revision += 1)),
       })),
   };
-  const roster = createServerRegistry(ctx, { feed, isLeading: () => true, leader: () => undefined });
+  const roster = createServerRegistry(ctx, {
+    feed,
+    isLeading: () => true,
+    leader: () => undefined,
+  });
   await pause(LOADED_MS);
   let changed = 0;
   roster.changes.subscribe(() => (changed += 1));
--- a/tests/gateway/link-health.test.ts
+++ b/tests/gateway/link-health.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest';
 
-import { isSilent, noteSpoken } from '../../src/core/gateway/silence';
-import type { Conversation } from '../../src/core/gateway/silence';
+import { isLinkUnresponsive, noteLinkSend } from '../../src/core/gateway/link-health';
+import type { LinkActivity } from '../../src/core/gateway/link-health';
 import { at } from './support';
 
 const SETTLE_MS = 3_000;
@@ -10,11 +10,18 @@
 /** A peer is told something every 200 ms; instants at which its link is made anew. */
 function renewals(heardAt: (now: number) => number | undefined, untilMs: number): number[] {
   const found: number[] = [];
-  let conversation: Conversation | undefined;
+  let conversation: LinkActivity | undefined;
   for (let now = 0; now <= untilMs; now += EVERY_MS) {
-    conversation = noteSpoken(conversation, at(now), SETTLE_MS);
+    conversation = noteLinkSend(conversation, at(now), SETTLE_MS);
     const heard = heardAt(now);
-    if (!isSilent(conversation, heard === undefined ? undefined : at(heard), at(now), SETTLE_MS))
+    if (
+      !isLinkUnresponsive(
+        conversation,
+        heard === undefined ? undefined : at(heard),
+        at(now),
+        SETTLE_MS,
+      )
+    )
       continue;
     found.push(now);
     conversation = undefined;
@@ -38,8 +45,8 @@
   });
 
   it('is given time after a pause in which it was told nothing', () => {
-    const old = noteSpoken(undefined, at(0), SETTLE_MS);
-    const anew = noteSpoken(old, at(60_000), SETTLE_MS);
-    expect(isSilent(anew, at(100), at(60_000), SETTLE_MS)).toBe(false);
+    const old = noteLinkSend(undefined, at(0), SETTLE_MS);
+    const anew = noteLinkSend(old, at(60_000), SETTLE_MS);
+    expect(isLinkUnresponsive(anew, at(100), at(60_000), SETTLE_MS)).toBe(false);
   });
 });
--- a/tests/gateway/progress.test.ts
+++ b/tests/gateway/progress.test.ts
@@ -4,12 +4,12 @@
   createProgress,
   noteEnded,
   noteEvent,
-  noteRead,
+  notePrefilled,
   noteSent,
   slowdownOf,
   stalledAt,
-  stalledBesideOthersAt,
-  usualPauseMs,
+  sharedGroupStalledAt,
+  expectedPauseMs,
 } from '../../src/core/gateway/progress';
 import { at, ENGINE } from './support';
 
@@ -37,7 +37,7 @@
   it('means nothing while nothing runs there', () => {
     const ended = noteEnded(noteSent(createProgress(at(0)), at(0), 100), 100);
     expect(stalledAt(ended, USUAL, 0)).toBeUndefined();
-    expect(ended.unread).toBe(0);
+    expect(ended.pendingPrefill).toBe(0);
   });
 
   it('counts from the send that ended an idle time', () => {
@@ -58,24 +58,24 @@
 
   it('is longer while prompts wait to be read', () => {
     const sent = noteSent(createProgress(at(0)), at(0), 5_600);
-    expect(sent.unread).toBe(5_600);
-    expect(stalledAt(sent, USUAL, sent.unread / ENGINE.prefillTokensPerMs)).toBe(600);
-    expect(noteRead(sent, 5_600).unread).toBe(0);
+    expect(sent.pendingPrefill).toBe(5_600);
+    expect(stalledAt(sent, USUAL, sent.pendingPrefill / ENGINE.prefillTokensPerMs)).toBe(600);
+    expect(notePrefilled(sent, 5_600).pendingPrefill).toBe(0);
   });
 
   it('is no evidence for long while the first events are awaited and others have streams there', () => {
     const sent = noteSent(createProgress(at(0)), at(0), 100);
-    expect(stalledBesideOthersAt(sent, USUAL, 0, true)).toBe(1_200);
-    const begun = noteSent(noteEvent(noteRead(sent, 100), at(100), undefined), at(150), 200);
-    expect(stalledBesideOthersAt(begun, USUAL, 0, true)).toBe(600);
+    expect(sharedGroupStalledAt(sent, USUAL, 0, true)).toBe(1_200);
+    const begun = noteSent(noteEvent(notePrefilled(sent, 100), at(100), undefined), at(150), 200);
+    expect(sharedGroupStalledAt(begun, USUAL, 0, true)).toBe(600);
     const left = noteEnded(begun, 0);
-    expect(stalledBesideOthersAt(left, USUAL, 0, true)).toBe(1_300);
-    expect(noteEnded(left, 200)).toMatchObject({ running: 0, started: 0, unread: 0 });
+    expect(sharedGroupStalledAt(left, USUAL, 0, true)).toBe(1_300);
+    expect(noteEnded(left, 200)).toMatchObject({ running: 0, started: 0, pendingPrefill: 0 });
   });
 
   it('is expected to grow with the load, by the published figures', () => {
-    expect(usualPauseMs(ENGINE, 1, 0)).toBeCloseTo(38.7);
-    expect(usualPauseMs(ENGINE, 1, 18)).toBeGreaterThan(53);
-    expect(usualPauseMs(ENGINE, 0.6, 0)).toBeCloseTo(23.22);
+    expect(expectedPauseMs(ENGINE, 1, 0)).toBeCloseTo(38.7);
+    expect(expectedPauseMs(ENGINE, 1, 18)).toBeGreaterThan(53);
+    expect(expectedPauseMs(ENGINE, 0.6, 0)).toBeCloseTo(23.22);
   });
 });
--- a/tests/gateway/rate-limits.test.ts
+++ b/tests/gateway/rate-limits.test.ts
@@ -2,10 +2,20 @@
 
 import { dialect } from '../../platform/ingress';
 import { HEADERS } from '../../platform/names';
-import { createRateLimits } from '../../src/app/gateway/limits';
-import { forget, noteAnswer, takeTold, tell } from '../../src/core/gateway/limits/known';
-import type { KnownLimits, Told } from '../../src/core/gateway/limits/known';
-import { countSenders, listSilent, sendersOf, shareOf } from '../../src/core/gateway/limits/share';
+import { createRateLimits } from '../../src/app/gateway/rate-limits';
+import {
+  pruneLimits,
+  noteAnswer,
+  mergeLimitUpdates,
+  listLimitUpdates,
+} from '../../src/core/gateway/limits/known';
+import type { KnownLimits, LimitUpdate } from '../../src/core/gateway/limits/known';
+import {
+  countSenders,
+  listUnresponsive,
+  sendersOf,
+  shareOf,
+} from '../../src/core/gateway/limits/share';
 import { brandAs } from '../../src/core/ids';
 import type { DaemonId, EpochTime } from '../../src/core/ids';
 import { at, instance, makeContext } from './support';
@@ -38,7 +48,7 @@
   it('rises by the word of a peer only where its request was sent after the lower limit was heard', () => {
     const known = named(2, 1_000);
     const limitBy = (perSecond: number | null, sentAgeMs: number, heardAgeMs: number) =>
-      takeTold(known, [[SERVER, perSecond, sentAgeMs, heardAgeMs]], at(1_200)).get(SERVER)
+      mergeLimitUpdates(known, [[SERVER, perSecond, sentAgeMs, heardAgeMs]], at(1_200)).get(SERVER)
         ?.perSecond;
     expect(limitBy(5, 300, 100)).toBe(2);
     expect(limitBy(5, 150, 100)).toBe(5);
@@ -48,8 +58,12 @@
 
   it('falls at once, unless what was said is surely older', () => {
     const known = named(2, 1_000);
-    expect(takeTold(known, [[SERVER, 1, 700, 100]], at(1_200)).get(SERVER)?.perSecond).toBe(1);
-    expect(takeTold(known, [[SERVER, 1, 700, 600]], at(1_200)).get(SERVER)?.perSecond).toBe(2);
+    expect(
+      mergeLimitUpdates(known, [[SERVER, 1, 700, 100]], at(1_200)).get(SERVER)?.perSecond,
+    ).toBe(1);
+    expect(
+      mergeLimitUpdates(known, [[SERVER, 1, 700, 600]], at(1_200)).get(SERVER)?.perSecond,
+    ).toBe(2);
   });
 
   // Guards against a process that reads, once it wakes, an answer of before as the latest word and tells it to all.
@@ -61,21 +75,25 @@
       { perSecond: 60, sentAt: at(1_900) },
       at(5_000),
     );
-    expect(takeTold(low, tell(asleep, at(5_000)), at(5_000)).get(SERVER)?.perSecond).toBe(1);
-    expect(takeTold(asleep, tell(low, at(5_000)), at(5_000)).get(SERVER)?.perSecond).toBe(1);
+    expect(
+      mergeLimitUpdates(low, listLimitUpdates(asleep, at(5_000)), at(5_000)).get(SERVER)?.perSecond,
+    ).toBe(1);
+    expect(
+      mergeLimitUpdates(asleep, listLimitUpdates(low, at(5_000)), at(5_000)).get(SERVER)?.perSecond,
+    ).toBe(1);
   });
 
   it('is passed on as servers said it here, and as others told it only where it is collected for them', () => {
-    const known = takeTold(NONE, [[SERVER, 5, 100, 50]], at(1_000));
-    expect(tell(known, at(1_100))).toEqual([]);
-    expect(tell(known, at(1_100), { ofAll: true })).toEqual([[SERVER, 5, 200, 150]]);
-    expect(tell(named(2, 1_000), at(1_100))).toEqual([[SERVER, 2, 110, 100]]);
+    const known = mergeLimitUpdates(NONE, [[SERVER, 5, 100, 50]], at(1_000));
+    expect(listLimitUpdates(known, at(1_100))).toEqual([]);
+    expect(listLimitUpdates(known, at(1_100), { ofAll: true })).toEqual([[SERVER, 5, 200, 150]]);
+    expect(listLimitUpdates(named(2, 1_000), at(1_100))).toEqual([[SERVER, 2, 110, 100]]);
   });
 
   it('forgets servers that are gone, and keeps what the others said however long ago', () => {
     const known = named(2, 0);
-    expect(forget(known, () => false, at(60_000)).size).toBe(1);
-    expect(forget(known, () => true, at(60_000)).size).toBe(0);
+    expect(pruneLimits(known, () => false, at(60_000)).size).toBe(1);
+    expect(pruneLimits(known, () => true, at(60_000)).size).toBe(0);
   });
 });
 
@@ -100,8 +118,8 @@
 
   it('counts silent daemons out only where most are heard', () => {
     const daemons = daemonIds(7);
-    expect(listSilent(daemons, new Set(daemons.slice(0, 4)))).toEqual(daemons.slice(4));
-    expect(listSilent(daemons, new Set(daemons.slice(0, 3)))).toEqual([]);
+    expect(listUnresponsive(daemons, new Set(daemons.slice(0, 4)))).toEqual(daemons.slice(4));
+    expect(listUnresponsive(daemons, new Set(daemons.slice(0, 3)))).toEqual([]);
   });
 });
 
@@ -110,7 +128,11 @@
     let ms = 0;
     const clock = { now: () => at(ms), epoch: () => brandAs<EpochTime>(ms) };
     const ctx = makeContext({ clock, settings: { id: brandAs<DaemonId>('d0') } });
-    const limits = createRateLimits(ctx, { daemons, isRemoved: () => false, publish: () => undefined });
+    const limits = createRateLimits(ctx, {
+      daemons,
+      isRemoved: () => false,
+      publish: () => undefined,
+    });
     return { limits, wait: (more: number) => (ms += more) };
   }
 
@@ -161,7 +183,7 @@
     const clock = { now: () => at(100), epoch: () => brandAs<EpochTime>(100) };
     const all = daemonIds(200);
     const ctx = makeContext({ clock, settings: { id: brandAs<DaemonId>('d0') } });
-    const sent: [readonly DaemonId[], readonly Told[]][] = [];
+    const sent: [readonly DaemonId[], readonly LimitUpdate[]][] = [];
     const limits = createRateLimits(ctx, {
       daemons: () => all,
       isRemoved: () => false,
--- a/tests/gateway/relays.test.ts
+++ b/tests/gateway/relays.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
 
-import { joinNews } from '../../src/core/gateway/news';
+import { mergeUpdates } from '../../src/core/gateway/collection-updates';
 import { planFanOut, RELAY_DEFAULTS } from '../../src/core/gateway/relays';
 import type { FanOut, RelayPeer } from '../../src/core/gateway/relays';
 import { brandAs } from '../../src/core/ids';
@@ -102,7 +102,7 @@
       upTo: position(6),
       changes: [{ key: 's1' }, { key: 's3', value: 3 }],
     };
-    expect(joinNews(first, second)).toEqual({
+    expect(mergeUpdates(first, second)).toEqual({
       since: position(1),
       upTo: position(6),
       changes: [{ key: 's1' }, { key: 's2' }, { key: 's3', value: 3 }],
@@ -111,6 +111,6 @@
 
   it('do not hide that something between them is unknown', () => {
     const second = { since: position(5), upTo: position(6), changes: [{ key: 's3', value: 3 }] };
-    expect(joinNews(first, second)).toEqual(second);
+    expect(mergeUpdates(first, second)).toEqual(second);
   });
 });
--- a/tests/gateway/retry-budget.test.ts
+++ b/tests/gateway/retry-budget.test.ts
@@ -79,7 +79,7 @@
   /** A daemon of a fleet of 195: four or five requests a second, less than two retries of the fixed number. */
   const LARGE: FleetAllowance = {
     ratio: 0.15,
-    carriedRatio: 0.04,
+    burstRatio: 0.04,
     slack: 350,
     windowMs: 10_000,
     daemons: 195,
--- a/tests/gateway/server-backoff.test.ts
+++ b/tests/gateway/server-backoff.test.ts
@@ -1,28 +1,32 @@
 import { describe, expect, it } from 'vitest';
 
 import { dialect } from '../../platform/ingress';
-import { noteRest, restLeftMs } from '../../src/core/gateway/rests';
-import type { Rests } from '../../src/core/gateway/rests';
+import { noteBackoff, backoffRemainingMs } from '../../src/core/gateway/server-backoff';
+import type { Backoffs } from '../../src/core/gateway/server-backoff';
 import { brandAs } from '../../src/core/ids';
 import type { DaemonId, EpochTime } from '../../src/core/ids';
 import { at, instance, makeThrottle, makeContext } from './support';
 
 const SERVER = instance('s1');
-const NONE: Rests = new Map();
+const NONE: Backoffs = new Map();
 
 describe('the rest that a server asks for', () => {
   it('lasts until its end, and until the later one of two', () => {
-    const rests = noteRest(NONE, SERVER, 3_000, at(100));
-    expect(restLeftMs(rests, SERVER, at(100))).toBe(3_000);
-    expect(restLeftMs(rests, SERVER, at(3_100))).toBe(0);
-    expect(restLeftMs(noteRest(rests, SERVER, 500, at(200)), SERVER, at(200))).toBe(2_900);
-    expect(restLeftMs(noteRest(rests, SERVER, 5_000, at(200)), SERVER, at(200))).toBe(5_000);
+    const rests = noteBackoff(NONE, SERVER, 3_000, at(100));
+    expect(backoffRemainingMs(rests, SERVER, at(100))).toBe(3_000);
+    expect(backoffRemainingMs(rests, SERVER, at(3_100))).toBe(0);
+    expect(backoffRemainingMs(noteBackoff(rests, SERVER, 500, at(200)), SERVER, at(200))).toBe(
+      2_900,
+    );
+    expect(backoffRemainingMs(noteBackoff(rests, SERVER, 5_000, at(200)), SERVER, at(200))).toBe(
+      5_000,
+    );
   });
 
   it('holds for one life of the server, and leaves none out for ever', () => {
-    const rests = noteRest(NONE, SERVER, 999_999_999_000, at(0));
-    expect(restLeftMs(rests, instance('s1@2'), at(0))).toBe(0);
-    expect(restLeftMs(rests, SERVER, at(600_000))).toBe(0);
+    const rests = noteBackoff(NONE, SERVER, 999_999_999_000, at(0));
+    expect(backoffRemainingMs(rests, instance('s1@2'), at(0))).toBe(0);
+    expect(backoffRemainingMs(rests, SERVER, at(600_000))).toBe(0);
   });
 
   it('leaves no turns here, tells when it ends, and wakes requests that wait', () => {
--- a/tests/gateway/server-registry.test.ts
+++ b/tests/gateway/server-registry.test.ts
@@ -3,7 +3,7 @@
 
 import type { Leader } from '../../src/app/gateway/peer-view';
 import type { PeerProgress } from '../../src/app/gateway/messages';
-import { createServerRegistry } from '../../src/app/gateway/roster';
+import { createServerRegistry } from '../../src/app/gateway/server-registry';
 import { createStoreAccess } from '../../src/app/gateway/store-access';
 import type { BackendServer } from '../../src/core/gateway/types';
 import { brandAs } from '../../src/core/ids';
@@ -116,7 +116,11 @@
       return ResultAsync.fromSafePromise(new Promise<never>(() => undefined));
     };
     const feed: Feed<BackendServer> = { name: 'servers', load: next, poll: next };
-    const roster = createServerRegistry(ctx, { feed, isLeading: () => true, leader: () => undefined });
+    const roster = createServerRegistry(ctx, {
+      feed,
+      isLeading: () => true,
+      leader: () => undefined,
+    });
     await pause(250);
     roster.watch.stop();
     return roster;
--- a/tests/gateway/slot-admission.test.ts
+++ b/tests/gateway/slot-admission.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest';
 
 import { createPeerLoads } from '../../src/app/gateway/peer-loads';
-import { createSlotAdmission } from '../../src/app/gateway/rooms';
+import { createSlotAdmission } from '../../src/app/gateway/slot-admission';
 import type { GroupCandidate } from '../../src/core/gateway/balance';
 import { brandAs, later } from '../../src/core/ids';
 import type { EpochTime, ZoneId } from '../../src/core/ids';
@@ -23,7 +23,14 @@
 function group(id: string, freePlaces: number): GroupCandidate {
   return {
     ...{ head: instance(id), zone: brandAs<ZoneId>('a'), running: 0, batchSize: 18 },
-    ...{ room: freePlaces, freePlaces, unread: 0, maxUnread: 9_000, slowdown: 1, isTried: false },
+    ...{
+      freeCapacity: freePlaces,
+      freeSlots: freePlaces,
+      pendingPrefill: 0,
+      maxPendingPrefill: 9_000,
+      slowdown: 1,
+      isTried: false,
+    },
   };
 }
 
--- a/tests/gateway/store-return.test.ts
+++ b/tests/gateway/store-return.test.ts
@@ -2,12 +2,12 @@
 import { describe, expect, it, vi } from 'vitest';
 
 import { createConfigView } from '../../src/app/gateway/config-view';
-import { createServerRegistry } from '../../src/app/gateway/roster';
-import type { ServerRegistry } from '../../src/app/gateway/roster';
+import { createServerRegistry } from '../../src/app/gateway/server-registry';
+import type { ServerRegistry } from '../../src/app/gateway/server-registry';
 import { createStoreAccess } from '../../src/app/gateway/store-access';
 import { watchFeed } from '../../src/app/gateway/watch';
 import { mixHashes } from '../../src/core/routing/hash';
-import { joinNews, reaches } from '../../src/core/gateway/news';
+import { mergeUpdates, canContinueFrom } from '../../src/core/gateway/collection-updates';
 import type { BackendServer } from '../../src/core/gateway/types';
 import { brandAs } from '../../src/core/ids';
 import type { ConfigVersion } from '../../src/core/ids';
@@ -199,7 +199,8 @@
     };
     return { store, roster, run };
   };
-  const known = (roster: ServerRegistry): BackendServer | undefined => [...roster.servers.values()][0];
+  const known = (roster: ServerRegistry): BackendServer | undefined =>
+    [...roster.servers.values()][0];
 
   it('that were leaving are leaving still', async () => {
     const { store, roster, run } = follow();
@@ -289,8 +290,8 @@
 
 describe('news of servers from another era', () => {
   it('are not gone on from: the same revision has another meaning there', () => {
-    expect(reaches(position(9, FIRST), position(4, FIRST))).toBe(true);
-    expect(reaches(position(9, FIRST), position(4, SECOND))).toBe(false);
+    expect(canContinueFrom(position(9, FIRST), position(4, FIRST))).toBe(true);
+    expect(canContinueFrom(position(9, FIRST), position(4, SECOND))).toBe(false);
     const earlier = {
       since: position(1, FIRST),
       upTo: position(9, FIRST),
@@ -301,6 +302,6 @@
       upTo: position(5, SECOND),
       changes: [{ key: 'b' }],
     };
-    expect(joinNews(earlier, later)).toEqual(later);
+    expect(mergeUpdates(earlier, later)).toEqual(later);
   });
 });
--- a/tests/gateway/store-silence.test.ts
+++ b/tests/gateway/store-silence.test.ts
@@ -11,7 +11,7 @@
 import { describe, expect, it, vi } from 'vitest';
 
 import { createConfigView } from '../../src/app/gateway/config-view';
-import { createServerRegistry } from '../../src/app/gateway/roster';
+import { createServerRegistry } from '../../src/app/gateway/server-registry';
 import { watchFeed } from '../../src/app/gateway/watch';
 import { brandAs, later } from '../../src/core/ids';
 import type { BackendServer, GatewayConfig } from '../../src/core/gateway/types';
--- a/tests/gateway/succession.test.ts
+++ b/tests/gateway/succession.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
 
-import { rankSuccessors, readDelayMs } from '../../src/core/gateway/succession';
+import { rankSuccessors, leaseReadDelayMs } from '../../src/core/gateway/succession';
 import { brandAs } from '../../src/core/ids';
 import type { DaemonId } from '../../src/core/ids';
 
@@ -23,7 +23,7 @@
 
   it('is looked at by few while no leader is heard, and by the others only after their turns', () => {
     const lookers = (afterMs: number): number =>
-      Array.from({ length: 195 }, (_, rank) => readDelayMs(rank, 300)).filter(
+      Array.from({ length: 195 }, (_, rank) => leaseReadDelayMs(rank, 300)).filter(
         (delay) => delay <= afterMs,
       ).length;
     expect(lookers(0)).toBeLessThanOrEqual(10);
--- a/tests/gateway/waiting-order.test.ts
+++ b/tests/gateway/waiting-order.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest';
 
 import { createRandom } from '../../src/adapters/runtime';
-import { compareWaiting, noteHold } from '../../src/core/gateway/waiting-order';
+import { compareWaiting, smoothHoldMs } from '../../src/core/gateway/waiting-order';
 import type { WaitingRequest } from '../../src/core/gateway/waiting-order';
 import type { MonoTime } from '../../src/core/ids';
 import { at } from './support';
@@ -81,7 +81,7 @@
 
 describe('the mean holding time', () => {
   it('begins with the first request and follows the later ones', () => {
-    expect(noteHold(undefined, 500)).toBe(500);
-    expect(noteHold(500, 1_500)).toBe(600);
+    expect(smoothHoldMs(undefined, 500)).toBe(500);
+    expect(smoothHoldMs(500, 1_500)).toBe(600);
   });
 });
--- a/tests/ledger-requests.test.ts
+++ b/tests/ledger-requests.test.ts
@@ -59,7 +59,11 @@
   return { daemons, faults: clients.map((client) => client.faults), table, backend, ran };
 }
 
-function reserve(daemon: Fixture | undefined, key: string, body = '{"n":1}'): Promise<ReceivedResponse> {
+function reserve(
+  daemon: Fixture | undefined,
+  key: string,
+  body = '{"n":1}',
+): Promise<ReceivedResponse> {
   const headers = { 'idempotency-key': key };
   return send(`${daemon?.url ?? ''}/services/ledger/reserve`, { headers, body });
 }
--- a/tests/support/fake-hub.ts
+++ b/tests/support/fake-hub.ts
@@ -2,7 +2,13 @@
 
 import { Subject } from 'rxjs';
 
-import type { DirectMessaging, DirectMessage, Gossip, GossipEntry, PeerInfo } from '../../src/app/parts';
+import type {
+  DirectMessaging,
+  DirectMessage,
+  Gossip,
+  GossipEntry,
+  PeerInfo,
+} from '../../src/app/parts';
 import type { ConfigVersion, DaemonId, ZoneId } from '../../src/core/ids';
 
 export interface HubMember {
