--- a/src/core/gateway/capacity.ts
+++ b/src/core/gateway/capacity.ts
@@ -1,55 +1,57 @@
 /**
- * Which room in a model's groups one daemon may use before it hears of the others again.
+ * Computes the free capacity of a model's groups that one daemon may use until the next load update. A slot
+ * is one request in a group's batch.
  *
- * Load pattern: groups are lost or a burst comes, and many daemons have requests waiting. All of them see the
- * same free places at the same moment, from loads that are some tenths of a second old. If each takes them, the
- * surplus waits in the groups' engines in order of arrival, out of reach of our own order of waiting, and nearly
- * every request becomes late although there are places for most.
+ * Load pattern: groups are lost or a burst arrives, and many daemons have requests waiting. All of them see
+ * the same free slots at the same moment, from loads that are some tenths of a second old. If each used them
+ * all, the surplus would queue in the groups' engines in order of arrival, beyond the control of our own
+ * queue order, and nearly every request would become late although there are slots for most.
  *
- * So while more is asked for than there is room, the free places are granted by need, each to one daemon. A
- * place that one of a daemon's own streams gave back is that daemon's to use again, in the same group: it knows
- * of it before all others. Requests that are late already use only what those that can be on time leave: for a
- * place that a late one takes, another request becomes late as well.
+ * So while the offered load exceeds the free capacity, each free slot is granted to one daemon, in proportion
+ * to need. A slot released by one of a daemon's own streams may be reused by that daemon, in the same group,
+ * since it knows of the slot before all others. Requests that are already late use only what those that can
+ * be on time leave over: each slot that a late one takes makes another request late.
  */
 
 import type { InstanceId } from '../ids';
 
-/** What a group can take, as a daemon sees it. */
+/** A group's load and limits, as this daemon knows them. */
 export interface GroupCapacity {
   readonly running: number;
   readonly batchSize: number;
-  /** Requests beyond its places that it may have. */
+  /** Requests that may queue in its engine, beyond its slots. */
   readonly queued: number;
-  /** Requests that will have ended when loads are heard of again. */
+  /** Requests expected to end before the next load update. */
   readonly departing: number;
-  /** Prompt tokens in it that wait to be read, and how many may. */
+  /** Prompt tokens in it that wait for prefill, and how many may. */
   readonly pendingPrefill: number;
   readonly maxPendingPrefill: number;
-  /** Tokens of a usual prompt. */
+  /** Mean number of tokens in a prompt. */
   readonly meanPromptTokens: number;
-  /** Usual prompts that are read until loads are heard of again. */
+  /** Prompts of mean length that are prefilled before the next load update. */
   readonly prefillsUntilUpdate: number;
 }
 
-/** Part of the time that requests may wait for a place which they may spend in a group's own queue. */
+/** Part of a request's slack that it may spend in a group's own queue. */
 const QUEUED_PART = 0.5;
 
+/** Waiting and holding times of a model's requests. */
 export interface QueueTimes {
-  /** Time that a request may wait for a place and still be on time, milliseconds. */
+  /** Time that a request may wait for a slot and still be on time, milliseconds. */
   readonly slackMs: number;
-  /** Mean time that requests hold a place, milliseconds. */
+  /** Mean time that a request holds a slot, milliseconds. */
   readonly holdMs: number;
 }
 
 /**
- * Requests that may stand in a group beyond its places, so that a place which becomes free is taken at once:
- * as many as reach a place within a part of their slack.
+ * Number of requests that may queue in a group beyond its slots, so that a slot is reused as soon as it is
+ * released: as many as get a slot within a part of their slack.
  */
 export function maxQueued(batchSize: number, { slackMs, holdMs }: QueueTimes): number {
   return Math.round((batchSize * QUEUED_PART * slackMs) / Math.max(1, slackMs, holdMs));
 }
 
-/** Requests of the group that end within `ms`, where each holds its place for `holdMs` on average. */
+/** Expected number of the group's requests that end within `ms`, if each holds its slot for `holdMs` on average. */
 export function departuresIn(
   { running, batchSize }: Pick<GroupCapacity, 'running' | 'batchSize'>,
   ms: number,
@@ -58,30 +60,33 @@
   return (Math.min(running, batchSize) * ms) / Math.max(ms, holdMs);
 }
 
-/** Requests that the group can take without holding up those that it has. */
+/** Number of requests that the group can take without delaying those that it has. */
 export function freeCapacityOf(group: GroupCapacity): number {
-  const places = group.batchSize + group.queued - group.running + group.departing;
-  const prompts =
+  const slots = group.batchSize + group.queued - group.running + group.departing;
+  const prefills =
     (group.maxPendingPrefill - group.pendingPrefill) / group.meanPromptTokens +
     group.prefillsUntilUpdate;
-  return Math.max(0, Math.min(places, Math.ceil(prompts)));
+  return Math.max(0, Math.min(slots, Math.ceil(prefills)));
 }
 
-/** What is asked for of a model: requests that wait, and new ones a second. */
+/** Load offered to a model. */
 export interface OfferedLoad {
+  /** Requests that wait for a slot. */
   readonly waiting: number;
+  /** Arrival rate, requests per second. */
   readonly perSecond: number;
 }
 
 const MS_PER_S = 1_000;
 
-/** Requests that want a place, those that wait and those that come until loads are heard of again. */
+/** Requests that need a slot before the next load update: those waiting and those expected to arrive. */
 export interface ExpectedLoad {
+  /** Requests that can still be on time. */
   readonly onTime: number;
   readonly late: number;
 }
 
-/** Of those that wait, only the arrivals of the last `slackMs` can still be on time. */
+/** Of the waiting requests, only those that arrived in the last `slackMs` can still be on time. */
 export function expectLoad(
   { waiting, perSecond }: OfferedLoad,
   { agedMs, slackMs }: { readonly agedMs: number; readonly slackMs: number },
@@ -90,58 +95,64 @@
   return { onTime: onTime + (perSecond * agedMs) / MS_PER_S, late: waiting - onTime };
 }
 
-/** What a request may use: all room, places that its daemon was granted, or what the others leave. */
+/**
+ * Slots that a request may use.
+ *
+ * - `all`: any free slot.
+ * - `granted`: only slots that were granted to its daemon.
+ * - `surplus`: only slots that requests which can be on time leave over.
+ */
 export type SlotAccess = 'all' | 'granted' | 'surplus';
 
+/** Free capacity of a model's groups, and the expected load of this daemon and of its peers. */
 export interface Contention {
-  /** In all groups of the model, with the departures that are expected. */
+  /** In all groups of the model, expected departures included. */
   readonly freeCapacity: number;
   readonly local: ExpectedLoad;
   readonly remote: ExpectedLoad;
 }
 
+/** The slots that a request may use; `isLate` if it can no longer be on time. */
 export function slotAccessFor(
-  { freeCapacity: room, local: here, remote: elsewhere }: Contention,
+  { freeCapacity, local, remote }: Contention,
   isLate: boolean,
 ): SlotAccess {
-  const onTime = here.onTime + elsewhere.onTime;
-  if (onTime + here.late + elsewhere.late <= room) return 'all';
+  const onTime = local.onTime + remote.onTime;
+  if (onTime + local.late + remote.late <= freeCapacity) return 'all';
   if (isLate) return 'surplus';
-  return onTime <= room ? 'all' : 'granted';
+  return onTime <= freeCapacity ? 'all' : 'granted';
 }
 
-/** Late requests that this daemon may send until loads are heard of again; `lot` decides on the fraction. */
-export function lateQuota(
-  { freeCapacity: room, local: here, remote: elsewhere }: Contention,
-  lot: number,
-): number {
-  const surplus = Math.max(0, room - here.onTime - elsewhere.onTime);
-  const late = here.late + elsewhere.late;
-  return late === 0 ? 0 : Math.floor((surplus * here.late) / late + lot);
+/** Late requests that this daemon may send before the next load update, rounded at random by `chance` in [0, 1). */
+export function lateQuota({ freeCapacity, local, remote }: Contention, chance: number): number {
+  const surplus = Math.max(0, freeCapacity - local.onTime - remote.onTime);
+  const late = local.late + remote.late;
+  return late === 0 ? 0 : Math.floor((surplus * local.late) / late + chance);
 }
 
-/** This daemon's part of the demand that can be on time. */
-export function onTimeShare({ local: here, remote: elsewhere }: Contention): number {
-  const all = here.onTime + elsewhere.onTime;
-  return all === 0 ? 0 : here.onTime / all;
+/** This daemon's share of the expected load that can be on time. */
+export function onTimeShare({ local, remote }: Contention): number {
+  const all = local.onTime + remote.onTime;
+  return all === 0 ? 0 : local.onTime / all;
 }
 
-/** Free places of a group. */
+/** Free slots of a group. */
 export interface FreeSlots {
   readonly head: InstanceId;
   readonly places: number;
 }
 
 /**
- * Grants the daemon its share of each group's free places. Fractions are carried from group to group and begin
- * with a lot, so that all daemons together are granted as many as there are.
+ * Grants the daemon its share of each group's free slots. Fractions are carried over from group to group,
+ * starting from `chance` in [0, 1): with random values the grants of all daemons add up to the free slots on
+ * average.
  */
 export function grantSlots(
   groups: readonly FreeSlots[],
   share: number,
-  lot: number,
+  chance: number,
 ): readonly (readonly [InstanceId, number])[] {
-  let sum = lot;
+  let sum = chance;
   return groups.flatMap(({ head, places }) => {
     const before = Math.floor(sum);
     sum += share * places;
@@ -151,8 +162,8 @@
 }
 
 /**
- * The chance that a place which a stream gave back is used again. In a group that has more requests than it may
- * have, as many of the departures as it has too many are not replaced.
+ * Probability with which a slot released by a stream is reused. In an overfull group, as many departures as
+ * there are excess requests are not replaced.
  */
 export function reuseProbability({
   running,
--- a/src/core/gateway/forming/compose.ts
+++ b/src/core/gateway/forming/compose.ts
@@ -1,4 +1,4 @@
-/** Chooses which groups to form from a domain's free servers. */
+/** Decides which groups to form from each domain's free servers. */
 
 import { later } from '../../ids';
 import type { DomainId, ModelId } from '../../ids';
@@ -16,12 +16,12 @@
 import type { Draft } from './state';
 
 /**
- * Loads run at a time, in what the weight store gives without slowing down. A little more than all of
- * it, since a whole group starts at once and would often leave a part unused.
+ * Factor on the concurrent loads that the weight store sustains without slowing down. Above 1, since
+ * candidates members of a group load at once and would often leave part of that rate unused.
  */
-const LOAD_CROWD = 1.5;
+const LOAD_OVERCOMMIT = 1.5;
 
-/** Groups of each model that serve or soon will. */
+/** Number of groups of each model that serve or are being formed, without standby groups. */
 export function countGroups(draft: Draft, groups: Iterable<ReplicaGroup>): Map<ModelId, number> {
   const counts = new Map<ModelId, number>();
   const add = (model: ModelId | undefined): void => {
@@ -32,25 +32,26 @@
     if (isEnding || isStandby(id) || draft.formations.has(id) || !head) continue;
     add(model);
   }
-  for (const { model, isStandby: isSpare } of draft.formations.values()) if (!isSpare) add(model);
+  for (const { model, isStandby: isStandbyGroup } of draft.formations.values())
+    if (!isStandbyGroup) add(model);
   return counts;
 }
 
-/** A model that a group could be formed of now. */
+/** A model that a group could be formed for now. */
 interface Candidate extends ModelNeed {
-  /** Weight loads that its group would take. */
+  /** Weight loads that its group would need. */
   readonly loads: number;
-  /** Whether it would take servers that are kept for losses. */
+  /** Whether it would use reserved servers. */
   readonly usesReserve: boolean;
 }
 
-/** The models that the domain's free servers suffice for, the one that lacks groups most first. */
+/** Models that the domain's free servers suffice for and that may be formed, the neediest first. */
 function listCandidates(
   draft: Draft,
   needs: readonly ModelNeed[],
   { free, reserve }: FreeDomain,
 ): readonly Candidate[] {
-  const all = needs
+  const candidates = needs
     .filter(({ model }) => model.size <= free.length)
     .map((need): Candidate => {
       const { model } = need;
@@ -59,21 +60,21 @@
     });
   const cheapest = Math.min(
     Infinity,
-    ...all.filter(({ usesReserve }) => !usesReserve).map(({ loads }) => loads),
+    ...candidates.filter(({ usesReserve }) => !usesReserve).map(({ loads }) => loads),
   );
-  // Servers are kept for losses: a group that lost a member is put together again with them, rather
-  // than its others being loaded with another model.
+  // The reserve replaces lost members: a group that lost one is formed again with reserved servers,
+  // which is cheaper than loading its remaining members with another model.
   const mayUseReserve = ({ loads, ...need }: Candidate): boolean =>
     loads === 0 || (loads < cheapest && (cheapest < Infinity || isUnderprovisioned(draft, need)));
-  return all.filter((candidate) => {
+  return candidates.filter((candidate) => {
     if (!candidate.usesReserve) return candidate.loads === 0 || isGroupWorthwhile(draft, candidate);
     return isGroupWorthwhile(draft, candidate) && mayUseReserve(candidate);
   });
 }
 
 /**
- * The model to form a group of. One that needs no weights loaded goes first. Otherwise the one that
- * lacks groups most, and while further servers may come to the domain only that one.
+ * The model to form the next group for. One that needs no weight load goes first, then the neediest.
+ * While more servers may still join the domain, a load is started only for the neediest model of all.
  */
 function pickModel(
   draft: Draft,
@@ -85,32 +86,32 @@
   const needs = rankByNeed(draft, counts);
   const candidates = listCandidates(draft, needs, domain);
   const first = candidates.find(({ loads }) => loads === 0) ?? candidates[0];
-  const isSure = first?.loads === 0 || domain.isSettled || first?.model === needs[0]?.model;
-  return isSure ? first?.model : undefined;
+  const isFinal = first?.loads === 0 || domain.isSettled || first?.model === needs[0]?.model;
+  return isFinal ? first?.model : undefined;
 }
 
-/** Whether servers have stopped coming to the domain. */
+/** Whether the domain's number of servers has been stable for the settling time. */
 function isSettled(draft: Draft, domain: DomainId, servers: number): boolean {
-  const known = draft.arrivals.get(domain);
-  if (known?.servers !== servers) {
+  const last = draft.arrivals.get(domain);
+  if (last?.servers !== servers) {
     draft.arrivals.set(domain, { servers, at: draft.now });
     return false;
   }
-  return draft.now >= later(known.at, draft.settings.settleMs);
+  return draft.now >= later(last.at, draft.settings.settleMs);
 }
 
-/** A domain with servers that are free. */
+/** A domain with free servers. */
 interface FreeDomain {
   readonly domain: DomainId;
   readonly free: readonly BackendServer[];
-  /** Servers of it that are kept for losses. */
+  /** Number of its servers that are reserved to replace lost members. */
   readonly reserve: number;
   readonly isSettled: boolean;
-  /** A model that lacks groups, for which the domain's free servers are kept. */
+  /** The model that the domain's free servers are claimed for. */
   readonly claimant?: ModelSpec;
 }
 
-/** Starts one group in the domain, if one is lacking for which there are servers and loads. */
+/** Starts one group in the domain if a model needs one and servers and loads permit; returns its members. */
 function formOne(
   draft: Draft,
   domain: FreeDomain,
@@ -121,13 +122,13 @@
   if (!model) return [];
   const members = pickMembers(draft, free, model);
   const loads = countRequiredLoads(draft, members, model);
-  if (!canStartLoads(draft, loads, draft.view.engine.loadsAtOnce * LOAD_CROWD)) return [];
+  if (!canStartLoads(draft, loads, draft.view.engine.loadsAtOnce * LOAD_OVERCOMMIT)) return [];
   startFormation(draft, model, members, GROUP_PREFIX);
   counts.set(model.name, (counts.get(model.name) ?? 0) + 1);
   return members;
 }
 
-/** What is left of the domain once a group was formed there; a claim on it has been met. */
+/** The domain without the members of a group just formed there; that group also satisfies a claim. */
 function withoutMembers(
   { domain, free, reserve, isSettled }: FreeDomain,
   members: readonly BackendServer[],
@@ -140,7 +141,7 @@
   };
 }
 
-/** Starts new groups, one a domain in turn, and prepares spares. */
+/** Starts new groups, one per domain in turn, and prepares spares. */
 export function composeGroups(
   draft: Draft,
   groups: readonly ReplicaGroup[],
@@ -157,8 +158,8 @@
       return withoutMembers(domain, members);
     });
   }
-  for (const { domain, free, isSettled: isComplete, claimant } of domains) {
-    if (isComplete && !claimant) prepareSpares(draft, domain, free);
+  for (const { domain, free, isSettled: hasSettled, claimant } of domains) {
+    if (hasSettled && !claimant) prepareSpares(draft, domain, free);
   }
   stageMembers(draft, groups);
 }
--- a/src/core/gateway/forming/held-spares.ts
+++ b/src/core/gateway/forming/held-spares.ts
@@ -1,4 +1,4 @@
-/** Keeps the spares that complete a group which is just ending. */
+/** Holds back the spares that a group which is ending needs to be formed again. */
 
 import type { DomainId, ModelId } from '../../ids';
 import type { BackendServer } from '../types';
@@ -6,21 +6,24 @@
 import { isEnabled } from './state';
 import type { Draft } from './state';
 
-/** Members of ending groups that will be free in the domain, by the model to form again with them. */
-function comingTo(draft: Draft, domain: DomainId): ReadonlyMap<ModelId, readonly BackendServer[]> {
-  const coming = new Map<ModelId, BackendServer[]>();
+/** Members of ending groups that will become free in the domain, by the model to form again with them. */
+function listReleasing(
+  draft: Draft,
+  domain: DomainId,
+): ReadonlyMap<ModelId, readonly BackendServer[]> {
+  const releasing = new Map<ModelId, BackendServer[]>();
   for (const { model, members } of draft.retirements.values()) {
     if (model === undefined) continue;
     const staying = remainingMembers(draft, members).filter((server) => server.domain === domain);
-    if (staying.length > 0) coming.set(model, [...(coming.get(model) ?? []), ...staying]);
+    if (staying.length > 0) releasing.set(model, [...(releasing.get(model) ?? []), ...staying]);
   }
-  return coming;
+  return releasing;
 }
 
 /**
- * The domain's free servers without those that complete a group which is just ending. Its members come
- * free within some 100 ms. A smaller group formed of the spares meanwhile would leave the larger one
- * without its replacement: its survivors are then too few, and its model loses a group for good.
+ * The domain's free servers without the spares needed to form an ending group again. Its members become
+ * free within about 100 ms. If a smaller group took the spares meanwhile, the remaining members would be
+ * too few for a replacement and the larger model would lose a group permanently.
  */
 export function excludeHeldSpares(
   draft: Draft,
@@ -28,13 +31,13 @@
   free: readonly BackendServer[],
 ): readonly BackendServer[] {
   if (!isEnabled(draft, 'held-spares')) return free;
-  let left = free;
-  for (const [name, coming] of comingTo(draft, domain)) {
-    const model = draft.view.engine.models.find((each) => each.name === name);
-    const lacking = model ? model.size - (coming.length % model.size) : 0;
-    if (!model || lacking === model.size || lacking > left.length) continue;
-    const held = new Set(pickMembers(draft, left, { ...model, size: lacking }));
-    left = left.filter((server) => !held.has(server));
+  let remaining = free;
+  for (const [name, releasing] of listReleasing(draft, domain)) {
+    const model = draft.view.engine.models.find((spec) => spec.name === name);
+    const missing = model ? model.size - (releasing.length % model.size) : 0;
+    if (!model || missing === model.size || missing > remaining.length) continue;
+    const held = new Set(pickMembers(draft, remaining, { ...model, size: missing }));
+    remaining = remaining.filter((server) => !held.has(server));
   }
-  return left;
+  return remaining;
 }
--- a/src/core/gateway/forming/loads.ts
+++ b/src/core/gateway/forming/loads.ts
@@ -1,11 +1,11 @@
-/** Paces weight loads: so many may start in a window, and many at a time slow each other down. */
+/** Limits weight loads: their starts per window are limited, and concurrent loads slow each other down. */
 
 import { later } from '../../ids';
 import type { BackendServer, ModelSpec } from '../types';
 import { joinCost } from './form';
 import type { Draft } from './state';
 
-/** Loads of this process that began within the last window or are still running. */
+/** Drops loads that have ended and began before the current window. */
 export function pruneLoads(draft: Draft): void {
   const { now, settings } = draft;
   draft.loads = draft.loads.filter(
@@ -13,24 +13,27 @@
   );
 }
 
-function running(draft: Draft): number {
+function countRunning(draft: Draft): number {
   return draft.loads.filter(({ until }) => draft.now < until).length;
 }
 
-/** Whether `count` further loads may begin now. */
-export function canStartLoads(draft: Draft, count: number, atMost: number): boolean {
+/**
+ * Whether `count` more loads may start now, with at most `maxConcurrent` running at a time. If none is
+ * running, the concurrency limit doesn't apply, so that a group larger than the limit can still start.
+ */
+export function canStartLoads(draft: Draft, count: number, maxConcurrent: number): boolean {
   if (count === 0) return true;
   const { engine, hasTraffic } = draft.view;
-  const { loadWindowMs, loadRateShare: loadShare } = draft.settings;
-  const busy = running(draft);
-  if (busy > 0 && busy + count > atMost) return false;
+  const { loadWindowMs, loadRateShare } = draft.settings;
+  const running = countRunning(draft);
+  if (running > 0 && running + count > maxConcurrent) return false;
   if (!hasTraffic) return true;
-  const allowed = Math.max(1, engine.loadsPerS * (loadWindowMs / 1000) * loadShare);
-  const begun = draft.loads.filter(({ at }) => draft.now < later(at, loadWindowMs)).length;
-  return begun + count <= allowed;
+  const maxStarts = Math.max(1, engine.loadsPerS * (loadWindowMs / 1000) * loadRateShare);
+  const started = draft.loads.filter(({ at }) => draft.now < later(at, loadWindowMs)).length;
+  return started + count <= maxStarts;
 }
 
-/** Enters the loads that joining or staging begins. */
+/** Records the loads that a join or staging starts. */
 export function noteLoads(draft: Draft, servers: readonly BackendServer[], model: ModelSpec): void {
   for (const server of servers) {
     const { ms } = joinCost(draft, server, model);
--- a/src/core/gateway/forming/members.ts
+++ b/src/core/gateway/forming/members.ts
@@ -1,4 +1,4 @@
-/** The servers that a group may be formed of, and which of them suit a model best. */
+/** Selects the servers that a group may be formed from, and those that suit a model best. */
 
 import type { DomainId, InstanceId } from '../../ids';
 import { compareText } from '../../../utils/common';
@@ -8,7 +8,7 @@
 import { isSuspect } from './state';
 import type { Draft } from './state';
 
-/** Servers that may be ordered into a group now, by domain. */
+/** Servers that may join a group now, by domain. */
 export function collectFreeServers(draft: Draft): ReadonlyMap<DomainId, BackendServer[]> {
   const taken = new Set<InstanceId>();
   for (const { members } of draft.formations.values()) for (const { id } of members) taken.add(id);
@@ -20,14 +20,14 @@
     const isBound =
       membership && !isStandby(membership.group) && !draft.dissolved.has(membership.group);
     if (isBound) continue;
-    const found = free.get(domain);
-    if (found) found.push(server);
+    const domainServers = free.get(domain);
+    if (domainServers) domainServers.push(server);
     else free.set(domain, [server]);
   }
   return free;
 }
 
-/** Those of an ending group's members that go on to another one, as their entries stand now. */
+/** Current entries of those members of an ending group that can join another one. */
 export function remainingMembers(draft: Draft, members: readonly BackendServer[]): BackendServer[] {
   return members.flatMap(({ id }) => {
     const server = draft.view.servers.get(id);
@@ -35,25 +35,26 @@
   });
 }
 
-/** The servers that are ready for the model soonest; among equals those of least use to other models. */
+/** The free servers that are ready for the model soonest; ties go to those least useful to other models. */
 export function pickMembers(
   draft: Draft,
   free: readonly BackendServer[],
   model: ModelSpec,
 ): BackendServer[] {
   const others = draft.view.engine.models.filter(({ name }) => name !== model.name);
-  const elsewhere = (server: BackendServer): number =>
+  const minOtherJoinMs = (server: BackendServer): number =>
     Math.min(...others.map((other) => joinCost(draft, server, other).ms));
   return [...free]
     .sort(
       (a, b) =>
         joinCost(draft, a, model).ms - joinCost(draft, b, model).ms ||
-        elsewhere(b) - elsewhere(a) ||
+        minOtherJoinMs(b) - minOtherJoinMs(a) ||
         compareText(a.id, b.id),
     )
     .slice(0, model.size);
 }
 
+/** Number of the servers that must load the model's weights from the shared store. */
 export function countRequiredLoads(
   draft: Draft,
   servers: readonly BackendServer[],
--- a/src/core/gateway/forming/need.ts
+++ b/src/core/gateway/forming/need.ts
@@ -1,4 +1,4 @@
-/** Which model lacks groups, by its work or, before anything is known of that, by its share. */
+/** Ranks models by their need for another group: by offered load or, while that is unknown, by share. */
 
 import type { ModelId } from '../../ids';
 import { compareText } from '../../../utils/common';
@@ -9,44 +9,44 @@
 /** How much a model needs one more group. */
 export interface ModelNeed {
   readonly model: ModelSpec;
-  /** Groups that it would keep busy. */
+  /** Offered load, in groups that it would keep busy. */
   readonly work: number;
-  /** Groups that serve or soon will. */
+  /** Groups that serve or are being formed. */
   readonly groups: number;
-  /** Work for each group, had it one more. */
+  /** Offered load per group if it had one more. */
   readonly need: number;
 }
 
-/** Above this much work for each group, requests wait. */
-const SHORT_AT = 0.9;
+/** Offered load per group above which requests have to wait. */
+const SHORTAGE_LOAD = 0.9;
 
-/** `share` counts servers at work, so that a group's part is that share over its size. */
-function partOf({ share, size }: ModelSpec): number {
+/** The model's share in units of groups: `share` is in servers, so it is divided by the group size. */
+function groupShareOf({ share, size }: ModelSpec): number {
   return share / size;
 }
 
 /**
- * Work of a model. Where it has no groups, nothing but the requests that wait shows its work, and most
- * of these leave: it is then taken to have at least its published part of all work.
+ * Offered load of a model. Without groups only its waiting requests are visible, and most of those
+ * give up, so it is assumed to have at least its published share of the total load.
  */
-function workOf({ view }: Draft, model: ModelSpec, groups: number): number {
-  const { offeredLoad: demand, engine } = view;
-  if (!demand) return partOf(model);
-  const own = demand.get(model.name) ?? 0;
+function offeredLoadOf({ view }: Draft, model: ModelSpec, groups: number): number {
+  const { offeredLoad, engine } = view;
+  if (!offeredLoad) return groupShareOf(model);
+  const own = offeredLoad.get(model.name) ?? 0;
   if (groups > 0) return own;
-  const all = [...demand.values()].reduce((sum, work) => sum + work, 0);
-  const parts = engine.models.reduce((sum, each) => sum + partOf(each), 0);
-  return Math.max(own, (all * partOf(model)) / parts);
+  const totalLoad = [...offeredLoad.values()].reduce((sum, work) => sum + work, 0);
+  const totalShare = engine.models.reduce((sum, each) => sum + groupShareOf(each), 0);
+  return Math.max(own, (totalLoad * groupShareOf(model)) / totalShare);
 }
 
-/** All models, the one that needs a further group most first. */
+/** All models, the one that most needs another group first. */
 export function rankByNeed(
   draft: Draft,
   counts: ReadonlyMap<ModelId, number>,
 ): readonly ModelNeed[] {
   const needs = draft.view.engine.models.map((model): ModelNeed => {
     const groups = counts.get(model.name) ?? 0;
-    const work = workOf(draft, model, groups);
+    const work = offeredLoadOf(draft, model, groups);
     return { model, work, groups, need: work / (groups + 1) };
   });
   return needs.sort(
@@ -56,18 +56,18 @@
 }
 
 /**
- * Work for each group above which a further one is worth loads of weights, or servers that are kept for
- * losses. Below it a burst of two thirds more still finds places (1 / 0.6).
+ * Offered load per group above which another group is worth weight loads or reserved servers. Below it
+ * a burst of two thirds more still finds free slots (1 / 0.6).
  */
-const WANTED_AT = 0.6;
+const WORTHWHILE_LOAD = 0.6;
 
-/** Whether a further group of the model would be put to use; so it is as long as no work is known. */
+/** Whether another group of the model would be used; assumed while the offered load is unknown. */
 export function isGroupWorthwhile(draft: Draft, { work, groups }: ModelNeed): boolean {
   if (!isEnabled(draft, 'wanted')) return true;
-  return draft.view.offeredLoad === undefined || groups === 0 || work > WANTED_AT * groups;
+  return draft.view.offeredLoad === undefined || groups === 0 || work > WORTHWHILE_LOAD * groups;
 }
 
-/** Whether callers are served and the model has fewer groups than its work fills. */
+/** Whether the offered load is known and exceeds what the model's groups can take. */
 export function isUnderprovisioned({ view }: Draft, { work, groups }: ModelNeed): boolean {
-  return view.offeredLoad !== undefined && work > SHORT_AT * groups;
+  return view.offeredLoad !== undefined && work > SHORTAGE_LOAD * groups;
 }
--- a/src/core/gateway/forming/retire.ts
+++ b/src/core/gateway/forming/retire.ts
@@ -1,7 +1,7 @@
 /**
- * Ends groups. No member may join another group while its head may still serve: the head closes or
- * leaves first, and where it cannot be reached its members leave, wait until it must be broken, and
- * are free only then.
+ * Ends groups. No member may join another group while the head may still serve: the head closes or
+ * leaves first. If it cannot be reached, the members leave and become free only after the time in which
+ * the head is certain to have broken.
  */
 
 import { later } from '../../ids';
@@ -9,9 +9,10 @@
 import { sendOrder, isSuspect } from './state';
 import type { Draft, Retirement, RetirementStep } from './state';
 
-/** A head that answers no order for so long is held to be out of reach; one lost answer and a little more. */
+/** A head that answers no order for this long counts as unreachable: one lost answer and some margin. */
 const UNREACHABLE_MS = 1_000;
 
+/** Starts to end a group at the given step; a head that is missing or suspect is starved instead. */
 export function startRetirement(
   draft: Draft,
   of: Pick<Retirement, 'group' | 'epoch' | 'head' | 'members' | 'model'>,
@@ -22,26 +23,26 @@
   draft.foreignGroups.delete(group);
   draft.dissolved.delete(group);
   const isReachable = head !== undefined && !isSuspect(draft, head.id);
-  const first: RetirementStep = isReachable ? step : 'starve';
-  draft.retirements.set(group, { ...of, step: first, since: draft.now });
+  const firstStep: RetirementStep = isReachable ? step : 'starve';
+  draft.retirements.set(group, { ...of, step: firstStep, since: draft.now });
 }
 
-function turnTo(draft: Draft, retirement: Retirement, step: RetirementStep): void {
+function switchTo(draft: Draft, retirement: Retirement, step: RetirementStep): void {
   draft.retirements.set(retirement.group, { ...retirement, step, since: draft.now });
 }
 
-function setFree(draft: Draft, { group }: Retirement): void {
+function release(draft: Draft, { group }: Retirement): void {
   draft.retirements.delete(group);
   draft.dissolved.set(group, draft.now);
 }
 
-/** What the head reports now, as long as it reports this group. */
+/** The state that the head reports, if it still reports this group. */
 function headState(draft: Draft, { group, epoch, head }: Retirement): string | undefined {
   const now = head && draft.view.servers.get(head.id)?.membership;
   return now?.group === group && now.epoch === epoch ? now.state : undefined;
 }
 
-/** Whether the head reports by now that it has no part in the group. */
+/** Whether the head's entry, once it can reflect the order, shows that it has left the group. */
 function hasLeft(draft: Draft, { group, epoch, head, since }: Retirement): boolean {
   const now = head && draft.view.servers.get(head.id);
   if (!now || draft.now < later(since, draft.settings.resendMs)) return false;
@@ -56,55 +57,55 @@
   return { kind: 'leave', group, epoch };
 }
 
-const STEPS: Readonly<
+const STEP_HANDLERS: Readonly<
   Record<RetirementStep, (draft: Draft, retirement: Retirement, head: BackendServer) => void>
 > = {
   finish: (draft, retirement, head) => {
     const state = headState(draft, retirement);
     if (state === 'ready' || state === 'joining' || state === 'broken') {
-      setFree(draft, retirement);
+      release(draft, retirement);
       return;
     }
     const { group, epoch } = retirement;
     const result = sendOrder(draft, head, { kind: 'close', group, epoch, mode: 'finish' });
-    const { finishTimeoutMs: finishMs, unlistedFinishMs: unseenFinishMs } = draft.settings;
-    const limitMs = state === undefined ? unseenFinishMs : finishMs;
-    const isLate = draft.now >= later(retirement.since, limitMs);
+    const { finishTimeoutMs, unlistedFinishMs } = draft.settings;
+    const limitMs = state === undefined ? unlistedFinishMs : finishTimeoutMs;
+    const isTimedOut = draft.now >= later(retirement.since, limitMs);
     const isLost = retirement.members.some(({ id }) => isSuspect(draft, id));
-    if (isLate || isLost || result === 'refused' || result === 'other-server') {
-      turnTo(draft, retirement, 'leave');
+    if (isTimedOut || isLost || result === 'refused' || result === 'other-server') {
+      switchTo(draft, retirement, 'leave');
     }
   },
   abort: (draft, retirement, head) => {
     const { group, epoch } = retirement;
     const result = sendOrder(draft, head, { kind: 'close', group, epoch, mode: 'abort' });
-    if (result !== undefined) turnTo(draft, retirement, 'leave');
+    if (result !== undefined) switchTo(draft, retirement, 'leave');
   },
   leave: (draft, retirement, head) => {
     const result = sendOrder(draft, head, leaveOrder(retirement));
     if (result === 'done' || result === 'other-server' || hasLeft(draft, retirement)) {
-      setFree(draft, retirement);
+      release(draft, retirement);
       return;
     }
-    if (result === 'refused') turnTo(draft, retirement, 'abort');
+    if (result === 'refused') switchTo(draft, retirement, 'abort');
     else if (draft.now >= later(retirement.since, UNREACHABLE_MS))
-      turnTo(draft, retirement, 'starve');
+      switchTo(draft, retirement, 'starve');
   },
   starve: (draft, retirement, head) => {
     const result = sendOrder(draft, head, leaveOrder(retirement));
     if (result === 'done' || result === 'other-server' || hasLeft(draft, retirement)) {
-      setFree(draft, retirement);
+      release(draft, retirement);
       return;
     }
     starve(draft, retirement);
   },
 };
 
-/** Has the members leave. From the first one's leaving the head stands still, and breaks in time. */
+/** Orders the members to leave. Once the first has left, the head stalls and breaks within a known time. */
 function starve(draft: Draft, retirement: Retirement): void {
   const { settings, now } = draft;
   if (retirement.freeAt !== undefined) {
-    if (now >= retirement.freeAt) setFree(draft, retirement);
+    if (now >= retirement.freeAt) release(draft, retirement);
     return;
   }
   const others = retirement.members.filter(({ id }) => id !== retirement.head?.id);
@@ -116,13 +117,13 @@
   draft.retirements.set(retirement.group, { ...retirement, freeAt });
 }
 
-/** Takes every ending group a step further. */
+/** Advances every group being ended by one step. */
 export function advanceRetirements(draft: Draft): void {
   for (const retirement of [...draft.retirements.values()]) {
     const { head } = retirement;
-    // A head that has started again has nothing of the group that its earlier life served.
-    if (head && draft.view.ended.has(head.id)) setFree(draft, retirement);
-    else if (head) STEPS[retirement.step](draft, retirement, head);
+    // A head that has restarted no longer has the group that its earlier process served.
+    if (head && draft.view.ended.has(head.id)) release(draft, retirement);
+    else if (head) STEP_HANDLERS[retirement.step](draft, retirement, head);
     else starve(draft, retirement);
   }
 }
--- a/src/core/gateway/forming/spares.ts
+++ b/src/core/gateway/forming/spares.ts
@@ -1,4 +1,4 @@
-/** Prepares spares, so that a lost member is replaced without a load of weights. */
+/** Prepares spares, so that a lost member is replaced without a weight load. */
 
 import type { DomainId, ModelId } from '../../ids';
 import { compareText } from '../../../utils/common';
@@ -10,7 +10,7 @@
 import { sendOrder, modelOf, isEnabled } from './state';
 import type { Draft } from './state';
 
-/** Spares of a domain that are warm for each model, or soon will be. */
+/** Number of the domain's spares that are warm for each model or being warmed. */
 function countWarm(
   draft: Draft,
   domain: DomainId,
@@ -31,9 +31,9 @@
 }
 
 /**
- * The model that a spare is kept warm for. One that served a model stays with it, whatever spares come
- * and go beside it: to change it costs a load, and for that long it replaces nobody. A fresh one takes
- * what its host has staged, or the model that fewest spares are warm for.
+ * The model that a spare is kept warm for. A spare that served a model keeps it, however the other spares
+ * change: switching costs a load, during which the spare can replace nobody. A new one takes the model
+ * that is staged on its host, or the model with the fewest warm spares.
  */
 function warmModel(
   draft: Draft,
@@ -43,13 +43,13 @@
 ): ModelSpec | undefined {
   const own = models.find(({ name }) => name === modelOf(draft, server));
   const staged = models.find(({ name }) => server.staged.includes(name));
-  const [fewest] = [...models].sort((a, b) => (warm.get(a.name) ?? 0) - (warm.get(b.name) ?? 0));
-  return own ?? staged ?? fewest;
+  const [leastWarm] = [...models].sort((a, b) => (warm.get(a.name) ?? 0) - (warm.get(b.name) ?? 0));
+  return own ?? staged ?? leastWarm;
 }
 
 /**
- * Keeps spares warm for one model and staged for another, so that a lost member of either is replaced
- * without a load. A warm spare joins in a fraction of a second, a staged one in one or two.
+ * Keeps spares warm for one model and stages another, so that a lost member of either is replaced
+ * without a load. A warm spare joins in a fraction of a second, a staged one in one or two seconds.
  */
 export function prepareSpares(
   draft: Draft,
@@ -57,19 +57,19 @@
   spares: readonly BackendServer[],
 ): void {
   if (!isEnabled(draft, 'spares')) return;
-  // The largest group loses a member most often.
+  // The larger a group, the more often it loses a member.
   const models = [...draft.view.engine.models].sort((a, b) => b.size - a.size);
   const warm = countWarm(draft, domain, spares);
   for (const server of [...spares].sort((a, b) => compareText(a.id, b.id))) {
     const model = warmModel(draft, models, server, warm);
-    const other = models.find((each) => each !== model);
+    const other = models.find((spec) => spec !== model);
     if (!model) continue;
     if (modelOf(draft, server) === undefined) warm.set(model.name, (warm.get(model.name) ?? 0) + 1);
     prepareSpare(draft, server, model, other);
   }
 }
 
-function loadsForSpares({ view, settings }: Draft): number {
+function maxSpareLoads({ view, settings }: Draft): number {
   return view.hasTraffic ? settings.maxSpareLoads : view.engine.loadsAtOnce;
 }
 
@@ -78,7 +78,7 @@
 }
 
 function stage(draft: Draft, server: BackendServer, model: ModelSpec): void {
-  if (isLoading(draft, server) || !canStartLoads(draft, 1, loadsForSpares(draft))) return;
+  if (isLoading(draft, server) || !canStartLoads(draft, 1, maxSpareLoads(draft))) return;
   sendOrder(draft, server, { kind: 'stage', model: model.name });
   noteLoads(draft, [server], model);
 }
@@ -92,7 +92,7 @@
   if (isLoading(draft, server)) return;
   if (modelOf(draft, server) !== warm.name) {
     const cost = joinCost(draft, server, warm);
-    if (!canStartLoads(draft, cost.isLoad ? 1 : 0, loadsForSpares(draft))) return;
+    if (!canStartLoads(draft, cost.isLoad ? 1 : 0, maxSpareLoads(draft))) return;
     startFormation(draft, warm, [server], STANDBY_PREFIX);
     return;
   }
@@ -100,9 +100,9 @@
 }
 
 /**
- * Stages the weights of larger models on one member of each smaller group. A large group that lost a
- * member where no spare is left is then put together again within two seconds, at the price of a group
- * of a model that has enough, in place of a load of weights.
+ * Stages the weights of a larger model on one member of each smaller group. When a large group loses a
+ * member and no spare remains, it can then be formed again within two seconds, at the cost of a group
+ * of a model that has enough of them instead of a weight load.
  */
 export function stageMembers(draft: Draft, groups: readonly ReplicaGroup[]): void {
   if (!isEnabled(draft, 'staged-members')) return;
@@ -111,8 +111,8 @@
     const own = models.find(({ name }) => name === model);
     const larger = models.find(({ size }) => own !== undefined && size > own.size);
     const last = members.at(-1);
-    const isKnown = larger && members.some(({ staged }) => staged.includes(larger.name));
-    if (!larger || isKnown || !last || isStandby(id) || draft.retirements.has(id)) continue;
+    const isStaged = larger && members.some(({ staged }) => staged.includes(larger.name));
+    if (!larger || isStaged || !last || isStandby(id) || draft.retirements.has(id)) continue;
     if (last.membership?.state !== 'ready' || members.length !== own?.size) continue;
     stage(draft, last, larger);
   }
--- a/src/core/gateway/forming/start.ts
+++ b/src/core/gateway/forming/start.ts
@@ -1,4 +1,4 @@
-/** Begins to form a group: gives it a name and an epoch, and a time by which it must be whole. */
+/** Starts to form a group: assigns its id and epoch, and a deadline by which it must be complete. */
 
 import { brandAs, later } from '../../ids';
 import type { Epoch, GroupId } from '../../ids';
@@ -7,12 +7,14 @@
 import { noteLoads } from './loads';
 import type { Draft } from './state';
 
-/** Groups of this name are one warm server each and never serve. */
+/** Id prefix of standby groups: one warm server each, which never serves. */
 export const STANDBY_PREFIX = 'standby-';
+/** Id prefix of groups that serve. */
 export const GROUP_PREFIX = 'group-';
-/** Epochs that one term of a lease may give out; its holder then takes the lease anew. */
+/** Epochs that may be assigned under one fencing number; the holder must then acquire the lease again. */
 export const EPOCHS_PER_LEASE = 65_536;
 
+/** Whether the group is a warm spare. */
 export function isStandby(group: GroupId): boolean {
   return group.startsWith(STANDBY_PREFIX);
 }
@@ -22,6 +24,7 @@
   return brandAs<Epoch>(draft.view.fencing * EPOCHS_PER_LEASE + draft.epochCount);
 }
 
+/** Adds a formation of the model with these members, and records the weight loads that it starts. */
 export function startFormation(
   draft: Draft,
   model: ModelSpec,
@@ -30,20 +33,20 @@
 ): void {
   const epoch = nextEpoch(draft);
   const group = brandAs<GroupId>(`${prefix}${epoch}`);
-  const slowest = Math.max(...members.map((server) => joinCost(draft, server, model).ms));
+  const slowestJoinMs = Math.max(...members.map((server) => joinCost(draft, server, model).ms));
   noteLoads(
     draft,
     members.filter((server) => joinCost(draft, server, model).isLoad),
     model,
   );
-  // Loads that share the weight store's rate take longer than their figure.
-  const crowd = Math.max(1, draft.loads.length / draft.view.engine.loadsAtOnce);
+  // Loads that share the weight store's bandwidth take longer than published.
+  const loadSlowdown = Math.max(1, draft.loads.length / draft.view.engine.loadsAtOnce);
   draft.formations.set(group, {
     group,
     epoch,
     model: model.name,
     members,
-    deadline: later(draft.now, slowest * crowd + draft.settings.joinSlackMs),
+    deadline: later(draft.now, slowestJoinMs * loadSlowdown + draft.settings.joinSlackMs),
     isStandby: prefix === STANDBY_PREFIX,
   });
 }
--- a/src/core/gateway/forming/state.ts
+++ b/src/core/gateway/forming/state.ts
@@ -1,4 +1,4 @@
-/** What the former of replica groups knows beside the servers' own reports. */
+/** State of the group planner: what it keeps between plans beside the servers' own reports. */
 
 import type { DomainId, Epoch, GroupId, InstanceId, ModelId, MonoTime } from '../../ids';
 import { later } from '../../ids';
@@ -6,60 +6,62 @@
 import type { BackendServer, EngineSpec } from '../types';
 
 /**
- * What the plan does beside replacing lost members. Each can be switched off, to measure what it is
- * worth (`npm run bench forming`).
+ * What the planner does beside replacing lost members. Each mechanism can be disabled to measure its
+ * effect (`npm run bench forming`).
  *
- * - `held-spares`: spares that complete an ending group are not taken by another one.
- * - `reserve`: as many servers are kept spare as losses are likely.
- * - `wanted`: no loads for groups that no work fills.
- * - `rebalance`: a model that lacks groups takes those of another one.
- * - `staged-members`: a member of a smaller group has the larger model on its host.
- * - `spares`: spares are warm, with the other model on their hosts.
+ * - `held-spares`: spares that complete an ending group are not used for another one.
+ * - `reserve`: as many spares are kept as recentLosses are expected.
+ * - `wanted`: no weights are loaded for a group that the offered load would not fill.
+ * - `rebalance`: a model that lacks groups takes servers from another model's groups.
+ * - `staged-members`: one member of each smaller group has the larger model staged on its host.
+ * - `spares`: spares are warm for one model and have another staged on their hosts.
  */
 export type FormingMechanism =
   'held-spares' | 'reserve' | 'wanted' | 'rebalance' | 'staged-members' | 'spares';
 
+/** Times and limits of the planner; all times in milliseconds. */
 export interface FormingSettings {
-  /** Mechanisms that are switched off, for measurement. */
+  /** Mechanisms to disable, for measurement. */
   readonly disabledMechanisms: readonly FormingMechanism[];
-  /** A head that waits for a lost member stands still for so long before it is broken; the platform's figure. */
+  /** Time that a head waits for a lost member before it breaks; given by the platform. */
   readonly headBreakMs: number;
-  /** Weight loads are counted over windows of this length; the platform's figure. */
+  /** Length of the window over which weight loads are counted; given by the platform. */
   readonly loadWindowMs: number;
   /**
-   * An order without a visible effect is sent again after this: an answer takes a few milliseconds, and
-   * the server's entry shows the effect within about 100. All orders are idempotent.
+   * Time after which an order without a visible effect is sent again: an answer takes a few
+   * milliseconds, and the server's entry shows the effect within about 100. All orders are idempotent.
    */
   readonly resendMs: number;
   /**
-   * Longest time between two sendings of an order. After `quickSends` the time doubles with each: a
-   * server that still gives no sign is likely dark, and a fleet loses servers by the hundred.
+   * Longest time between two sends of an order. After `fastResends` sends the interval doubles each
+   * time: a server that still doesn't react is likely unreachable, and a fleet loses hundreds at once.
    */
   readonly maxResendMs: number;
   readonly fastResends: number;
-  /** Added to `headBreakMs` before members of an unreachable head are used again, for clocks and reports. */
+  /** Added to `headBreakMs` before members of an unreachable head are reused, for clock and report delays. */
   readonly starveMarginMs: number;
-  /** Added to the expected time of a join before it is given up. */
+  /** Added to the expected time of a join before the group is abandoned. */
   readonly joinSlackMs: number;
-  /** A half-formed group of an earlier leader is left so long to become whole. */
+  /** Time that a partly formed group of an earlier leader has to become complete. */
   readonly adoptTimeoutMs: number;
-  /** A head that is not listed and closes after its requests shows no end; it has this long. */
+  /** Time that an unlisted head has to finish its requests: it cannot report that it has closed. */
   readonly unlistedFinishMs: number;
-  /** A group whose head is not listed waits so long for its return before it is replaced at the price of a load. */
+  /** Time that a group waits for its unlisted head to return before it is replaced at the cost of a load. */
   readonly unlistedHeadMs: number;
-  /** A closing group may finish its requests for so long; the longest deadline of a stream and a little more. */
+  /** Time that a closing group has to finish its requests: a little above the longest stream deadline. */
   readonly finishTimeoutMs: number;
   /**
-   * A domain to which no server came for so long is taken to be complete: only then are weights
-   * loaded for a model that would not have been the first choice.
+   * A domain that no server joined for this long counts as settled. Before that, weights are loaded
+   * only for the model that lacks groups most.
    */
   readonly settleMs: number;
-  /** Weight loads for spares alone that run at a time once callers are served: loads are dear. */
+  /** Concurrent weight loads for spares once callers are served: loads are expensive. */
   readonly maxSpareLoads: number;
-  /** Share of the loads allowed in a window that are used; the rest is for a change of leader. */
+  /** Share of the permitted load rate that is used; the rest is left for a change of leader. */
   readonly loadRateShare: number;
 }
 
+/** Defaults; the platform's figures replace `headBreakMs` and `loadWindowMs`. */
 export const FORMING_DEFAULTS: FormingSettings = {
   disabledMechanisms: [],
   headBreakMs: 6_000,
@@ -83,103 +85,115 @@
   readonly group: GroupId;
   readonly epoch: Epoch;
   readonly model: ModelId;
-  /** By rank. */
+  /** Ordered by rank. */
   readonly members: readonly BackendServer[];
-  /** Given up after this. */
+  /** The group is abandoned if it is not complete by then. */
   readonly deadline: MonoTime;
-  /** A warm spare: one member that is joined and never opened. */
+  /** A warm spare: a group of one member that is joined and never opened. */
   readonly isStandby: boolean;
 }
 
 /**
- * How far the end of a group has come. Its members may join other groups only once its head can no
- * longer serve.
+ * Current step in ending a group. Its members may join other groups only once its head can no longer
+ * serve.
  *
  * - `finish`: the head closes after its requests in flight.
- * - `abort`: the head closes at once, having refused to leave.
- * - `leave`: the head is told to leave.
+ * - `abort`: the head closes at once, because it refused to leave.
+ * - `leave`: the head is ordered to leave.
  * - `starve`: the head cannot be reached; its members leave, so that it breaks by itself.
  */
 export type RetirementStep = 'finish' | 'abort' | 'leave' | 'starve';
 
+/** A group being ended. */
 export interface Retirement {
   readonly group: GroupId;
   readonly epoch: Epoch;
   readonly step: RetirementStep;
   readonly head: BackendServer | undefined;
   readonly members: readonly BackendServer[];
-  /** The model to form again with its members; undefined where they go to another one. */
+  /** The model to form again with its members; undefined if they go to another model. */
   readonly model?: ModelId;
   /** When the step began. */
   readonly since: MonoTime;
-  /** Set once a member has left: from then on the head is broken. */
+  /** When the members are free: set once one has left, since the head then breaks within a known time. */
   readonly freeAt?: MonoTime;
 }
 
-/** An order on its way, or settled. */
+/** An order in flight, or answered. */
 export interface SentOrder {
+  /** When it was last sent. */
   readonly at: MonoTime;
-  /** How often it was sent. */
+  /** Number of times it was sent. */
   readonly sends: number;
+  /** Undefined until the last send is answered. */
   readonly result?: OrderResult;
 }
 
+/** The planner's state; immutable, replaced by each plan. */
 export interface FormingState {
   readonly settings: FormingSettings;
+  /** Groups being formed. */
   readonly formations: ReadonlyMap<GroupId, Formation>;
+  /** Groups being ended. */
   readonly retirements: ReadonlyMap<GroupId, Retirement>;
-  /** Groups whose heads can serve no more; their members are free, whatever they report. */
+  /** Groups whose heads can no longer serve, and since when; their members are free, whatever they report. */
   readonly dissolved: ReadonlyMap<GroupId, MonoTime>;
-  /** When a group was first seen that this process has not formed. */
+  /** When each group that this process didn't form was first seen. */
   readonly foreignGroups: ReadonlyMap<GroupId, MonoTime>;
-  /** Servers believed lost, and until when. */
+  /** Servers suspected lost, and until when. */
   readonly suspects: ReadonlyMap<InstanceId, MonoTime>;
+  /** By the order's key. */
   readonly sentOrders: ReadonlyMap<string, SentOrder>;
-  /** Ends of the weight loads begun by this process, and when they began. */
+  /** Weight loads that this process started. */
   readonly loads: readonly WeightLoad[];
-  /** Numbers the epochs of one lease. */
+  /** Epochs assigned under the current lease. */
   readonly epochCount: number;
-  /** When servers last came to a domain, and how many it has. */
+  /** Number of servers in each domain, and when it last changed. */
   readonly arrivals: ReadonlyMap<DomainId, Arrival>;
-  /** When groups lost members, of late. */
+  /** When groups lost members, within the loss window. */
   readonly recentLosses: readonly MonoTime[];
-  /** Model of the last group of each server: it stays warm for it, though it reports none once it has left. */
+  /** Model of each server's last group: it stays warm for it, though it reports none after leaving. */
   readonly lastModels: ReadonlyMap<InstanceId, ModelId>;
 }
 
+/** Number of servers in a domain, and when it was first observed. */
 export interface Arrival {
   readonly servers: number;
   readonly at: MonoTime;
 }
 
+/** A load of model weights onto a server, from `at` to its expected end. */
 export interface WeightLoad {
   readonly server: InstanceId;
   readonly at: MonoTime;
   readonly until: MonoTime;
 }
 
-/** What a plan is made from. */
+/** Input of a plan. */
 export interface FormingView {
+  /** The servers that are currently listed. */
   readonly servers: ReadonlyMap<InstanceId, BackendServer>;
-  /** Last known entries of servers that are not listed any more and may still serve. */
+  /** Last known entries of servers that are no longer listed but may still serve. */
   readonly lapsed: ReadonlyMap<InstanceId, BackendServer>;
-  /** Last known entries of lives that have surely ended: their servers have started again. */
+  /** Last known entries of processes that have certainly ended: their servers have restarted. */
   readonly ended: ReadonlyMap<InstanceId, BackendServer>;
   readonly engine: EngineSpec;
-  /** Grows with each change of the leader; epochs of a later leader are greater. */
+  /** Fencing number of the lease: a later leader has a greater one, and so greater epochCount. */
   readonly fencing: number;
-  /** Whether callers have been served: loads are slower from then on, and counted. */
+  /** Whether callers have been served: from then on loads are slower and rate-limited. */
   readonly hasTraffic: boolean;
-  /** Work of each model, in groups that it would keep busy; left out where nothing is known. */
+  /** Offered load of each model, in groups that it would keep busy; absent if unknown. */
   readonly offeredLoad?: ReadonlyMap<ModelId, number>;
 }
 
+/** An order to send; its result is reported under `key`. */
 export interface OrderEffect {
   readonly key: string;
   readonly server: BackendServer;
   readonly order: ServerOrder;
 }
 
+/** The state of a new leader. */
 export function createFormingState(settings: Partial<FormingSettings> = {}): FormingState {
   return {
     settings: { ...FORMING_DEFAULTS, ...settings },
@@ -197,7 +211,7 @@
   };
 }
 
-/** The same state with maps that a plan may change. */
+/** A mutable copy of the state that one plan works on, with the plan's input and its orders. */
 export interface Draft {
   readonly settings: FormingSettings;
   readonly formations: Map<GroupId, Formation>;
@@ -237,14 +251,14 @@
 }
 
 export function stateOf(draft: Draft): FormingState {
-  const { settings, formations, retirements, dissolved, foreignGroups: strangers } = draft;
+  const { settings, formations, retirements, dissolved, foreignGroups } = draft;
   const {
     suspects,
     sentOrders: sent,
     loads,
-    epochCount: epochs,
+    epochCount,
     arrivals,
-    recentLosses: losses,
+    recentLosses,
     lastModels,
   } = draft;
   return {
@@ -252,13 +266,13 @@
     formations,
     retirements,
     dissolved,
-    foreignGroups: strangers,
+    foreignGroups,
     suspects,
     sentOrders: sent,
     loads,
-    epochCount: epochs,
+    epochCount,
     arrivals,
-    recentLosses: losses,
+    recentLosses,
     lastModels,
   };
 }
@@ -268,7 +282,7 @@
   return model ?? lastModels.get(id);
 }
 
-/** Remembers what servers are warm for, and forgets those that are gone. */
+/** Records which model each server is warm for, and drops servers that are no longer known. */
 export function noteModels({ lastModels, view }: Draft): void {
   for (const { id, model, membership } of view.servers.values()) {
     if (model !== undefined && membership?.state !== 'joining') lastModels.set(id, model);
@@ -278,11 +292,12 @@
   }
 }
 
-/** Whether the mechanism is in use. */
+/** Whether the mechanism is enabled. */
 export function isEnabled({ settings }: Draft, mechanism: FormingMechanism): boolean {
   return !settings.disabledMechanisms.includes(mechanism);
 }
 
+/** Whether the server is suspected lost. */
 export function isSuspect(draft: Draft, id: InstanceId): boolean {
   const until = draft.suspects.get(id);
   return until !== undefined && draft.now < until;
@@ -295,14 +310,14 @@
 }
 
 function resendAt({ settings }: Draft, { at, sends }: SentOrder): MonoTime {
-  const { resendMs, maxResendMs: longestResendMs, fastResends: quickSends } = settings;
-  const doublings = Math.max(0, sends - quickSends);
-  return later(at, Math.min(longestResendMs, resendMs * 2 ** doublings));
+  const { resendMs, maxResendMs, fastResends } = settings;
+  const doublings = Math.max(0, sends - fastResends);
+  return later(at, Math.min(maxResendMs, resendMs * 2 ** doublings));
 }
 
 /**
- * Sends an order unless it is on its way or was settled a moment ago, and gives the last result.
- * Orders without a visible effect are sent again: all of them are idempotent.
+ * Sends an order, unless it was sent too recently to be repeated, and returns the last known result.
+ * Orders without a visible effect are sent again; all of them are idempotent.
  */
 export function sendOrder(
   draft: Draft,
@@ -318,6 +333,7 @@
   return sent?.result;
 }
 
+/** The last known result of an order. */
 export function lastResult(
   draft: Draft,
   server: BackendServer,
