--- a/src/core/gateway/limits/known.ts
+++ b/src/core/gateway/limits/known.ts
@@ -1,46 +1,48 @@
 /**
- * Limits that backend servers name in their answers: requests a second that a server takes from all daemons
- * together, for as long as it says so.
+ * Rate limits that backend servers report in their responses: requests per second that a server accepts from
+ * all daemons together, for as long as its responses say so.
  *
- * A server said what an answer holds at some time between its request's sending and the moment when the answer was
- * read, which may be seconds for a process that stood still. Where two statements may have been made in either
- * order, the lower limit holds; a higher one, or none, needs a request that was sent after the lower was heard.
+ * A report was made at some time between sending the request and reading the response, which may be seconds
+ * apart in a process that was suspended. If two reports may have been made in either order, the lower limit
+ * applies; a higher limit, or none, is accepted only from a request sent after the lower one was received.
  */
 
 import type { InstanceId, MonoTime } from '../../ids';
 import { later } from '../../ids';
 
-/** What an answer said. */
+/** The limit that a response reported. */
 export interface LimitReport {
-  /** Requests a second; undefined where the server named no limit. */
+  /** Requests per second; undefined if the server reported no limit. */
   readonly perSecond?: number | undefined;
-  /** When its request was sent. */
+  /** When the request was sent. */
   readonly sentAt: MonoTime;
 }
 
+/** The report that currently applies to a server. */
 export interface KnownLimit extends LimitReport {
-  /** When the answer was read. */
+  /** When the response was read. */
   readonly receivedAt: MonoTime;
-  /** Whether the server said so to this daemon. Only such statements are passed on, so that none comes back as news. */
+  /** Whether this daemon received it from the server. Only those are forwarded, so that none is echoed as new. */
   readonly isOwn: boolean;
 }
 
+/** The current report of each server. */
 export type KnownLimits = ReadonlyMap<InstanceId, KnownLimit>;
 
-/** A statement as a peer tells it: null where the limit has ended; ages in milliseconds. */
+/** A report as sent between peers: null if the limit has ended; ages in milliseconds. */
 export type LimitUpdate = [
   server: InstanceId,
   perSecond: number | null,
   sentAgeMs: number,
-  heardAgeMs: number,
+  receivedAgeMs: number,
 ];
 
-/** A limit that comes and goes with each answer holds throughout. */
-const FLICKER_MS = 1_000;
-/** Peers hear of the end of a limit several times in this time. */
-const ENDED_MS = 10_000;
+/** Least time that a limit applies after a report, so that one reported in only some responses applies throughout. */
+const MIN_LIMIT_HOLD_MS = 1_000;
+/** Time for which the end of a limit is kept: long enough to be sent to peers several times. */
+const ENDED_LIMIT_MEMORY_MS = 10_000;
 
-/** Whether `next` replaces what is known. */
+/** Whether `next` replaces the known report. */
 function replaces(next: KnownLimit, known: KnownLimit): boolean {
   const before = known.perSecond ?? Infinity;
   const after = next.perSecond ?? Infinity;
@@ -49,63 +51,63 @@
   return next.sentAt > known.sentAt;
 }
 
+/** Records the limit that a response of the server reported, or that it reported none. */
 export function noteAnswer(
   known: KnownLimits,
   server: InstanceId,
-  said: LimitReport,
+  report: LimitReport,
   now: MonoTime,
 ): KnownLimits {
   const before = known.get(server);
-  const next: KnownLimit = { ...said, receivedAt: now, isOwn: true };
-  if (said.perSecond === undefined) {
+  const next: KnownLimit = { ...report, receivedAt: now, isOwn: true };
+  if (report.perSecond === undefined) {
     if (before?.perSecond === undefined) return known;
-    if (now < later(before.receivedAt, FLICKER_MS)) return known;
+    if (now < later(before.receivedAt, MIN_LIMIT_HOLD_MS)) return known;
   }
   return before && !replaces(next, before) ? known : new Map(known).set(server, next);
 }
 
-/** Takes what a peer told. */
+/** Merges reports that a peer sent. */
 export function mergeLimitUpdates(
   known: KnownLimits,
-  told: readonly LimitUpdate[],
+  updates: readonly LimitUpdate[],
   now: MonoTime,
 ): KnownLimits {
-  const taken = told.flatMap(([server, perSecond, sentAgeMs, heardAgeMs]) => {
+  const accepted = updates.flatMap(([server, perSecond, sentAgeMs, receivedAgeMs]) => {
     const next: KnownLimit = {
       perSecond: perSecond ?? undefined,
       sentAt: later(now, -sentAgeMs),
-      receivedAt: later(now, -heardAgeMs),
+      receivedAt: later(now, -receivedAgeMs),
       isOwn: false,
     };
     const before = known.get(server);
     return before && !replaces(next, before) ? [] : [[server, next] as const];
   });
-  return taken.length === 0 ? known : new Map([...known, ...taken]);
+  return accepted.length === 0 ? known : new Map([...known, ...accepted]);
 }
 
-/** Without limits that ended long ago, and without servers that are gone. */
+/** Drops limits that ended long ago, and those of removed servers. */
 export function pruneLimits(
   known: KnownLimits,
-  isGone: (server: InstanceId) => boolean,
+  isRemoved: (server: InstanceId) => boolean,
   now: MonoTime,
 ): KnownLimits {
-  const isKept = ([server, { perSecond, receivedAt: heardAt }]: [
-    InstanceId,
-    KnownLimit,
-  ]): boolean => now < later(heardAt, ENDED_MS) || (perSecond !== undefined && !isGone(server));
+  const isKept = ([server, { perSecond, receivedAt }]: [InstanceId, KnownLimit]): boolean =>
+    now < later(receivedAt, ENDED_LIMIT_MEMORY_MS) ||
+    (perSecond !== undefined && !isRemoved(server));
   const kept = [...known].filter(isKept);
   return kept.length === known.size ? known : new Map(kept);
 }
 
-/** What is told to peers; `ofAll` where this daemon collects for them what each was told. */
+/** Reports to send to peers; with `ofAll` also those received from peers, for a daemon that collects them all. */
 export function listLimitUpdates(
   known: KnownLimits,
   now: MonoTime,
   { ofAll = false } = {},
 ): LimitUpdate[] {
-  return [...known].flatMap(([server, { perSecond, sentAt, receivedAt: heardAt, isOwn }]) =>
+  return [...known].flatMap(([server, { perSecond, sentAt, receivedAt, isOwn }]) =>
     isOwn || ofAll
-      ? [[server, perSecond ?? null, Math.max(0, now - sentAt), Math.max(0, now - heardAt)]]
+      ? [[server, perSecond ?? null, Math.max(0, now - sentAt), Math.max(0, now - receivedAt)]]
       : [],
   );
 }
--- a/src/core/gateway/limits/share.ts
+++ b/src/core/gateway/limits/share.ts
@@ -1,40 +1,43 @@
 /**
- * One daemon's share of a limit that a backend server set for all daemons together.
+ * Computes one daemon's share of a rate limit that a backend server set for all daemons together.
  *
- * A request is whole: divided evenly, a limit of a few requests a second gives each of hundreds of daemons a turn
- * in minutes, and one turn at hand for each of them is a hundredfold of it. So a few daemons send for all, about as
- * many as the limit has requests in a second. All work out the same ones from the same names, by rendezvous hashing,
- * without a word; where their views differ by a daemon or two, so do the senders. Other servers have other senders.
+ * Requests are indivisible: divided evenly among hundreds of daemons, a limit of a few requests per second
+ * would give each a token only every few minutes, and one saved token in each would be a hundred times the
+ * limit. So only a few daemons send to the server, about as many as the limit in requests per second. All
+ * daemons derive the same senders from the same ids by rendezvous hashing, without communication; if their
+ * views differ by a daemon or two, so do the senders. Different servers have different senders.
  */
 
 import type { DaemonId, InstanceId, MonoTime } from '../../ids';
 import { rankByRendezvous, rankOf } from '../../membership/rendezvous';
 
+/** One daemon's share of a rate limit, as the parameters of a token bucket. */
 export interface RateShare {
-  /** Turns a second; 0 for a daemon that does not send to the server. */
+  /** Refill rate, tokens per second; 0 for a daemon that doesn't send to the server. */
   readonly perSecond: number;
-  /** Turns that may be saved up. */
+  /** Capacity of the bucket, tokens. */
   readonly burst: number;
 }
 
-/** A server that takes less is still asked this often, requests a second: its answer tells when it takes more. */
-const LEAST_PER_S = 0.2;
+/** Requests per second sent even to a server with a lower limit: its response tells when the limit rises. */
+const MIN_PROBE_RATE_PER_S = 0.2;
 /**
- * A turn comes due while the last one still waits for a request. Half of one is saved, so that a sender uses its
- * share although requests come at random.
+ * Minimum burst, tokens. The next token may be due while one still waits for a request; half a token more
+ * is kept, so that a sender uses its share although requests arrive at random.
  */
-const LEAST_SAVED = 1.5;
-/** Turns of so long may be saved by a sender with many a second. */
-const SAVED_S = 0.25;
+const MIN_BURST = 1.5;
+/** Burst of a sender with many tokens per second, as a time. */
+const BURST_WINDOW_S = 0.25;
 
 const MS_PER_S = 1_000;
 const NO_SHARE: RateShare = { perSecond: 0, burst: 0 };
 
+/** Number of daemons that send to a server with this limit. */
 export function countSenders(limitPerS: number, daemons: number): number {
   return Math.max(1, Math.min(daemons, Math.ceil(limitPerS)));
 }
 
-/** The daemons that send to the server for all. */
+/** The daemons that send to the server. */
 export function sendersOf(
   server: InstanceId,
   limitPerS: number,
@@ -46,55 +49,59 @@
   ) as DaemonId[];
 }
 
+/** Input of a daemon's share. */
 export interface ShareParams {
   readonly server: InstanceId;
   readonly limitPerS: number;
   readonly self: DaemonId;
-  /** All that share the limit, this one included. */
+  /** All daemons that share the limit, this one included. */
   readonly daemons: readonly DaemonId[];
 }
 
+/** This daemon's share of the server's limit. */
 export function shareOf({ server, limitPerS, self, daemons }: ShareParams): RateShare {
   const senders = countSenders(limitPerS, daemons.length);
   if (rankOf(server, self, daemons) >= senders) return NO_SHARE;
-  const perSecond = Math.max(limitPerS, LEAST_PER_S) / senders;
-  return { perSecond, burst: Math.max(LEAST_SAVED, perSecond * SAVED_S) };
+  const perSecond = Math.max(limitPerS, MIN_PROBE_RATE_PER_S) / senders;
+  return { perSecond, burst: Math.max(MIN_BURST, perSecond * BURST_WINDOW_S) };
 }
 
-/** Turns that a daemon has saved. Where its share begins anew there are none: others may have had them. */
+/** A daemon's token bucket for a server. A new share starts empty, as other daemons may have used its tokens. */
 export interface ShareBucket {
   readonly tokens: number;
+  /** When it was last refilled. */
   readonly at: MonoTime;
 }
 
+/** The bucket with the tokens added since the last refill. */
 export function refill(
-  { tokens: saved, at }: ShareBucket,
-  { perSecond, burst: mostSaved }: RateShare,
+  { tokens, at }: ShareBucket,
+  { perSecond, burst }: RateShare,
   now: MonoTime,
 ): ShareBucket {
   const gained = (Math.max(0, now - at) / MS_PER_S) * perSecond;
-  return { tokens: Math.min(mostSaved, saved + gained), at: now };
+  return { tokens: Math.min(burst, tokens + gained), at: now };
 }
 
-/** Time until a whole turn is there, milliseconds; infinite without a share. */
-export function msUntilToken({ tokens: saved }: ShareBucket, { perSecond }: RateShare): number {
-  if (saved >= 1) return 0;
-  return perSecond === 0 ? Infinity : ((1 - saved) / perSecond) * MS_PER_S;
+/** Time until a complete token is available, milliseconds; infinite without a share. */
+export function msUntilToken({ tokens }: ShareBucket, { perSecond }: RateShare): number {
+  if (tokens >= 1) return 0;
+  return perSecond === 0 ? Infinity : ((1 - tokens) / perSecond) * MS_PER_S;
 }
 
-/** Time in which the server takes one more request from any daemon, milliseconds. */
+/** Interval at which the server accepts requests from all daemons together, milliseconds. */
 export function requestIntervalMs(limitPerS: number): number {
-  return MS_PER_S / Math.max(limitPerS, LEAST_PER_S);
+  return MS_PER_S / Math.max(limitPerS, MIN_PROBE_RATE_PER_S);
 }
 
 /**
- * Daemons that are entered and give no sign. Nothing is said where the entered ones that are heard are not the
- * most: then it is this daemon that may be cut off, and the others that go on without it.
+ * Registered daemons that haven't been heard from. Empty unless a majority of the registered daemons has been
+ * heard: otherwise it may be this daemon that is partitioned, while the others continue without it.
  */
 export function listUnresponsive(
-  entered: readonly DaemonId[],
+  registered: readonly DaemonId[],
   heard: ReadonlySet<DaemonId>,
 ): readonly DaemonId[] {
-  const silent = entered.filter((id) => !heard.has(id));
-  return 2 * silent.length < entered.length ? silent : [];
+  const silent = registered.filter((id) => !heard.has(id));
+  return 2 * silent.length < registered.length ? silent : [];
 }
--- a/src/core/gateway/suspicion.ts
+++ b/src/core/gateway/suspicion.ts
@@ -1,50 +1,58 @@
 /**
- * Groups that nothing is sent to for a while.
+ * Suspected groups: no requests are sent to them for a while.
  *
- * Load pattern: heads go dark, and their entries stay for seconds. Each daemon that tries such a group
- * costs a caller the time of a connection that is never made. A group that disappoints again is left
- * alone for twice as long; one that the leader found lost is not tried again. Suspicion is of a group,
- * not of its head, which may serve in another group within half a second.
+ * Load pattern: heads become unreachable, and their entries remain for seconds. Each daemon that tries such
+ * a group costs a caller the time of a connection that is never established. A group that fails again is
+ * avoided for twice as long; one that the leader found lost is not tried again. Suspicion concerns a group,
+ * not its head, which may serve in another group within half a second.
  */
 
 import { later } from '../ids';
 import type { GroupId, MonoTime } from '../ids';
 
 /**
- * - `silent`: its streams give no events.
- * - `unreachable`: no connection to its head.
+ * Why a group is suspected.
+ *
+ * - `silent`: its streams send no events.
+ * - `unreachable`: no connection to its head could be established.
  * - `rejecting`: its head ran nothing of what it was sent.
- * - `lost`: the leader asked its members, and some gave no sign.
+ * - `lost`: the leader probed its members, and some didn't answer.
  */
 export type Evidence = 'silent' | 'unreachable' | 'rejecting' | 'lost';
 
-/** Long enough for the leader to ask the members; milliseconds. */
+/** First hold: long enough for the leader to probe the members. */
 const FIRST_HOLD_MS = 1_500;
-const LONGEST_HOLD_MS = 6_000;
-/** Longer than the entry of a lost server stays, milliseconds. */
+const MAX_HOLD_MS = 6_000;
+/** Longer than the entry of a lost server remains. */
 const LOST_HOLD_MS = 20_000;
-/** Evidence within this time of the end of the last hold is of the same trouble. */
-const SAME_TROUBLE_MS = 3_000;
+/** Evidence within this time after the end of the last hold counts as a further failure in a row. */
+const REPEAT_WINDOW_MS = 3_000;
 
+/** A hold on a group: no requests are sent to it until it ends. */
 export interface Suspicion {
   readonly until: MonoTime;
-  /** How often in a row the group disappointed. */
+  /** Failures in a row; each one doubles the hold. */
   readonly consecutiveFailures: number;
 }
 
+/** Suspected groups, and those whose hold ended recently. */
 export type Suspicions = ReadonlyMap<GroupId, Suspicion>;
 
+/** Whether requests are held back from the group. */
 export function isSuspect(suspicions: Suspicions, group: GroupId, now: MonoTime): boolean {
   const known = suspicions.get(group);
   return known !== undefined && now < known.until;
 }
 
-function holdMs(evidence: Evidence, times: number): number {
+function holdMs(evidence: Evidence, failures: number): number {
   if (evidence === 'lost') return LOST_HOLD_MS;
-  return Math.min(LONGEST_HOLD_MS, FIRST_HOLD_MS * 2 ** (times - 1));
+  return Math.min(MAX_HOLD_MS, FIRST_HOLD_MS * 2 ** (failures - 1));
 }
 
-/** Several daemons or streams see the same trouble at a time: it counts once, and a hold is never cut short. */
+/**
+ * Records evidence against a group. Evidence during a hold counts as the same failure, as several daemons
+ * and streams observe it at once. A hold is never shortened.
+ */
 export function noteEvidence(
   suspicions: Suspicions,
   group: GroupId,
@@ -52,14 +60,14 @@
   now: MonoTime,
 ): Suspicions {
   const next = new Map(
-    [...suspicions].filter(([, { until }]) => now < later(until, SAME_TROUBLE_MS)),
+    [...suspicions].filter(([, { until }]) => now < later(until, REPEAT_WINDOW_MS)),
   );
   const known = next.get(group);
   const isHeld = known !== undefined && now < known.until;
-  const times = isHeld ? known.consecutiveFailures : (known?.consecutiveFailures ?? 0) + 1;
-  const until = later(now, holdMs(evidence, times));
+  const failures = isHeld ? known.consecutiveFailures : (known?.consecutiveFailures ?? 0) + 1;
+  const until = later(now, holdMs(evidence, failures));
   return next.set(group, {
-    consecutiveFailures: times,
+    consecutiveFailures: failures,
     until: known && known.until > until ? known.until : until,
   });
 }
