--- a/src/core/gateway/collection-updates.ts
+++ b/src/core/gateway/collection-updates.ts
@@ -1,14 +1,15 @@
 /**
- * Changes of a collection that are told to peers, from one revision of the store to a later one.
+ * Updates of a store collection that daemons send to each other: the changes between two revisions.
  *
  * Load pattern: hundreds of servers start, join groups and open within seconds, each reporting several
- * states. Every message about them goes to the whole fleet, so changes of a short time go together, and
- * of one server only the last.
+ * states. Every message about them goes to the whole fleet, so changes made within a short time are sent
+ * together, and of each server only the last.
  */
 
 import { isLater } from '../store-era';
 import type { StorePosition } from '../store-era';
 
+/** Changes after position `since` up to `upTo`; a change without a value is a removal. */
 export interface CollectionUpdate<T> {
   readonly since: StorePosition;
   readonly upTo: StorePosition;
@@ -16,19 +17,21 @@
 }
 
 /**
- * Earlier news with later ones. Where something is missing between them only the later ones are left:
- * nobody may take them for all that happened since the earlier ones.
+ * Merges an update into an earlier one. If there is a gap between them only the later one is kept, since a
+ * merged one would claim to hold all changes since the earlier.
  */
 export function mergeUpdates<T>(
   earlier: CollectionUpdate<T> | undefined,
-  news: CollectionUpdate<T>,
+  update: CollectionUpdate<T>,
 ): CollectionUpdate<T> {
-  if (!earlier || !canContinueFrom(earlier.upTo, news.since)) return news;
-  const last = new Map([...earlier.changes, ...news.changes].map((change) => [change.key, change]));
-  return { since: earlier.since, upTo: news.upTo, changes: [...last.values()] };
+  if (!earlier || !canContinueFrom(earlier.upTo, update.since)) return update;
+  const last = new Map(
+    [...earlier.changes, ...update.changes].map((change) => [change.key, change]),
+  );
+  return { since: earlier.since, upTo: update.upTo, changes: [...last.values()] };
 }
 
-/** Whether whoever knows the collection up to `known` can go on from `since`. */
+/** Whether an update from `since` can be applied to a copy that is current up to `known`. */
 export function canContinueFrom(known: StorePosition, since: StorePosition): boolean {
   return known.era === since.era && !isLater(since, known);
 }
--- a/src/core/gateway/events.ts
+++ b/src/core/gateway/events.ts
@@ -1,32 +1,33 @@
 /**
- * Takes an event stream apart into whole events, so that no part of one is ever passed on, and reads
- * their ids. Contents are not looked at.
+ * Splits an event stream into complete events, so that no partial event is ever forwarded, and reads their
+ * ids. The data is not parsed.
  */
 
 const LINE_FEED = 0x0a;
 const CARRIAGE_RETURN = 0x0d;
 const ID_FIELD = Buffer.from('id:');
 const EMPTY: Uint8Array = Buffer.alloc(0);
-/** An event longer than this is a fault. */
+/** A longer event is treated as a fault. */
 const MAX_EVENT_BYTES = 1_048_576;
 
-/** One event with its bytes as they came. */
+/** One event with its bytes as received. */
 export interface StreamEvent {
   readonly bytes: Buffer;
-  /** Undefined where the event has none, or one that is no number. */
+  /** Undefined if the event has no id, or one that isn't a number. */
   readonly id: number | undefined;
 }
 
+/** Incremental reader of an event stream. */
 export interface EventReader {
-  /** The whole events that `chunk` completes. */
+  /** The events that `chunk` completes. */
   push(chunk: Buffer): readonly StreamEvent[];
-  /** Whether a part of an event is left over. */
+  /** Whether an incomplete event is buffered. */
   hasPartialEvent(): boolean;
-  /** Whether an event grew beyond all bounds. */
+  /** Whether the buffered event exceeds `MAX_EVENT_BYTES`. */
   isEventTooLong(): boolean;
 }
 
-/** End of the first event in `data`, past its empty line; -1 where it is not there yet. */
+/** End of the first event in `data`, past its empty line; -1 if the event is incomplete. */
 function eventEnd(data: Buffer): number {
   for (let at = data.indexOf(LINE_FEED); at >= 0; at = data.indexOf(LINE_FEED, at + 1)) {
     const next = data[at + 1];
@@ -51,21 +52,22 @@
   return undefined;
 }
 
+/** A reader at the start of a stream. */
 export function createEventReader(): EventReader {
-  let rest: Buffer = Buffer.from(EMPTY);
+  let partial: Buffer = Buffer.from(EMPTY);
   return {
     push: (chunk) => {
-      let data = rest.length === 0 ? chunk : Buffer.concat([rest, chunk]);
+      let data = partial.length === 0 ? chunk : Buffer.concat([partial, chunk]);
       const events: StreamEvent[] = [];
       for (let end = eventEnd(data); end >= 0; end = eventEnd(data)) {
         const bytes = data.subarray(0, end);
         events.push({ bytes, id: readId(bytes) });
         data = data.subarray(end);
       }
-      rest = data;
+      partial = data;
       return events;
     },
-    hasPartialEvent: () => rest.length > 0,
-    isEventTooLong: () => rest.length > MAX_EVENT_BYTES,
+    hasPartialEvent: () => partial.length > 0,
+    isEventTooLong: () => partial.length > MAX_EVENT_BYTES,
   };
 }
--- a/src/core/gateway/first-event.ts
+++ b/src/core/gateway/first-event.ts
@@ -1,33 +1,34 @@
 /**
- * How long a group takes from the arrival of a request to its first event, as seen of late. A request that has
- * waited for a place for longer than its objective less this time will be late wherever it is sent.
+ * Estimates the time to the first event: how long groups take from receiving a request to its first event. A
+ * request that has waited for a slot longer than its objective less this time will be late in any group.
  */
 
-/** Mean and mean deviation, milliseconds. */
+/** Exponentially weighted mean and mean deviation of the time to the first event, milliseconds. */
 export interface FirstEventStats {
   readonly meanMs: number;
   readonly deviationMs: number;
 }
 
-/** Weight of the latest first event. */
+/** Weight of the latest sample. */
 const SMOOTHING = 0.1;
 /**
- * Part of the objective that groups may be expected to take. Where they take longer all requests are late, and
- * those that came last still go first.
+ * Largest part of the objective that groups are assumed to take. If they take longer all requests are late,
+ * and the slack that remains still puts the latest arrivals first.
  */
-const MOST_OF_OBJECTIVE = 0.5;
+const MAX_OBJECTIVE_SHARE = 0.5;
 
-export function noteFirstEvent(seen: FirstEventStats | undefined, ms: number): FirstEventStats {
-  if (!seen) return { meanMs: ms, deviationMs: ms / 2 };
-  const error = ms - seen.meanMs;
+/** Adds a sample; the first one sets the mean, and half of itself as deviation. */
+export function noteFirstEvent(stats: FirstEventStats | undefined, ms: number): FirstEventStats {
+  if (!stats) return { meanMs: ms, deviationMs: ms / 2 };
+  const error = ms - stats.meanMs;
   return {
-    meanMs: seen.meanMs + SMOOTHING * error,
-    deviationMs: seen.deviationMs + SMOOTHING * (Math.abs(error) - seen.deviationMs),
+    meanMs: stats.meanMs + SMOOTHING * error,
+    deviationMs: stats.deviationMs + SMOOTHING * (Math.abs(error) - stats.deviationMs),
   };
 }
 
-/** Time that a request may wait for a place and still be on time, milliseconds. */
-export function slackMs(seen: FirstEventStats | undefined, objectiveMs: number): number {
-  const takesMs = seen ? seen.meanMs + seen.deviationMs : 0;
-  return objectiveMs - Math.min(takesMs, MOST_OF_OBJECTIVE * objectiveMs);
+/** Time that a request may wait for a slot and still be on time, milliseconds. */
+export function slackMs(stats: FirstEventStats | undefined, objectiveMs: number): number {
+  const expectedMs = stats ? stats.meanMs + stats.deviationMs : 0;
+  return objectiveMs - Math.min(expectedMs, MAX_OBJECTIVE_SHARE * objectiveMs);
 }
--- a/src/core/gateway/groups.ts
+++ b/src/core/gateway/groups.ts
@@ -1,18 +1,18 @@
-/** Replica groups, put together from what their members report of themselves. */
+/** Replica groups, assembled from what their members report. */
 
 import type { DomainId, Epoch, GroupId, ModelId } from '../ids';
 import { compareText } from '../../utils/common';
 import type { BackendServer } from './types';
 
-/** Members that report the same group and epoch. */
+/** The members that report the same group and epoch. */
 export interface ReplicaGroup {
   readonly id: GroupId;
   readonly epoch: Epoch;
   readonly model: ModelId | undefined;
   readonly domain: DomainId | undefined;
-  /** The member that takes requests; absent while it does not report. */
+  /** The member of rank 0, which takes requests; undefined if it doesn't report this group. */
   readonly head: BackendServer | undefined;
-  /** By rank; a gap where a member no longer reports this group. */
+  /** Ordered by rank; a member that no longer reports this group is missing. */
   readonly members: readonly BackendServer[];
 }
 
@@ -25,7 +25,7 @@
   return server.membership?.rank ?? 0;
 }
 
-/** All groups that any server reports, in a fixed order. */
+/** All groups that any server reports, ordered by id and epoch. */
 export function collectGroups(servers: Iterable<BackendServer>): readonly ReplicaGroup[] {
   const byKey = new Map<string, BackendServer[]>();
   for (const server of servers) {
@@ -41,8 +41,8 @@
   });
 }
 
-function toGroup(found: readonly BackendServer[]): ReplicaGroup | undefined {
-  const members = [...found].sort((a, b) => rankOf(a) - rankOf(b));
+function toGroup(reporting: readonly BackendServer[]): ReplicaGroup | undefined {
+  const members = [...reporting].sort((a, b) => rankOf(a) - rankOf(b));
   const first = members[0];
   if (!first?.membership) return undefined;
   const head = rankOf(first) === 0 ? first : undefined;
@@ -65,17 +65,17 @@
 }
 
 /**
- * The groups whose heads report that they serve and are not leaving. Only heads are looked at: callers'
- * daemons do this after each change among hundreds of servers.
+ * The groups whose heads report that they serve and aren't draining. Only heads are examined, as each daemon
+ * does this after every change among hundreds of servers.
  */
 export function findOpenGroups(servers: Iterable<BackendServer>): readonly OpenGroup[] {
-  const found: OpenGroup[] = [];
+  const reporting: OpenGroup[] = [];
   for (const head of servers) {
     const { membership, model, isDraining } = head;
     if (membership?.state !== 'open' || membership.rank !== 0) continue;
-    if (!isDraining && model !== undefined) found.push({ id: membership.group, model, head });
+    if (!isDraining && model !== undefined) reporting.push({ id: membership.group, model, head });
   }
-  return found;
+  return reporting;
 }
 
 /** Whether all `size` members report that they are ready under the same group and epoch. */
--- a/src/core/gateway/link-health.ts
+++ b/src/core/gateway/link-health.ts
@@ -1,37 +1,42 @@
 /**
- * Whether the link to a peer is to be made anew.
+ * Decides whether the link to a peer must be replaced.
  *
- * Load pattern: daemons that tell each other what they know several times a second, over connections
- * that may fall silent for good without an error while new ones work. Bytes that are written to such a
- * link wait in buffers for minutes, and the peer, which is heard no more, counts as gone: its requests are
- * not counted, and a leader that is not heard is not followed. A peer that answered before and is silent
- * for half of the time in which daemons are to be in order again is therefore spoken to over a new link.
+ * Load pattern: daemons send each other their state several times a second, over connections that may stop
+ * delivering without an error while new ones work. Bytes written to such a link wait in buffers for minutes,
+ * and the peer, no longer heard, counts as removed: its requests aren't counted, and a leader that isn't
+ * heard isn't followed. A peer that has been heard from before and is silent for half of the settling time,
+ * in which daemons must have recovered, is therefore contacted over a new link.
  */
 
 import { later } from '../ids';
 import type { MonoTime } from '../ids';
 
-/** Part of the settling time after which a peer counts as silent; the rest is for the new link. */
-const SILENT_SHARE = 0.5;
+/** Part of the settling time after which a peer counts as unresponsive; the rest is for the new link. */
+const UNRESPONSIVE_SHARE = 0.5;
 
-/** What this daemon tells one peer, again and again. */
+/** This daemon's periodic sends to one peer. */
 export interface LinkActivity {
-  /** No answer before this instant is missed: the peer was not told anything, or over another link. */
+  /** No response is expected before this instant: nothing was sent to the peer, or over another link. */
   readonly since: MonoTime;
   readonly lastSentAt: MonoTime;
 }
 
-/** Enters that the peer is told something now. After a pause a conversation begins anew. */
+/** Records a send to the peer. After a pause in sending, the activity starts again. */
 export function noteLinkSend(
   before: LinkActivity | undefined,
   now: MonoTime,
   settleMs: number,
 ): LinkActivity {
-  const isRunning = before && now < later(before.lastSentAt, settleMs * SILENT_SHARE);
-  return { since: isRunning ? before.since : now, lastSentAt: now };
+  const isOngoing = before && now < later(before.lastSentAt, settleMs * UNRESPONSIVE_SHARE);
+  return { since: isOngoing ? before.since : now, lastSentAt: now };
 }
 
-/** `heardAt`: when the peer was last heard of over any link; one that never was is not known to answer. */
+/**
+ * Whether the peer has been silent for too long.
+ *
+ * @param heardAt When the peer was last heard from over any link. If never, it isn't known to respond at all
+ * and doesn't count as unresponsive.
+ */
 export function isLinkUnresponsive(
   { since }: LinkActivity,
   heardAt: MonoTime | undefined,
@@ -40,5 +45,5 @@
 ): boolean {
   if (heardAt === undefined) return false;
   const latest = heardAt > since ? heardAt : since;
-  return now >= later(latest, settleMs * SILENT_SHARE);
+  return now >= later(latest, settleMs * UNRESPONSIVE_SHARE);
 }
--- a/src/core/gateway/orders.ts
+++ b/src/core/gateway/orders.ts
@@ -1,4 +1,4 @@
-/** Orders to the members of replica groups, and what becomes of them. */
+/** Orders to the members of replica groups, and their results. */
 
 import type { Epoch, GroupId, InstanceId, ModelId } from '../ids';
 
@@ -14,7 +14,7 @@
   readonly members: readonly InstanceId[];
 }
 
-/** To the head: start to serve. The engine checks no other member. */
+/** To the head: start to serve. The engine doesn't check the other members. */
 export interface OpenOrder extends ToGroup {
   readonly kind: 'open';
 }
@@ -25,24 +25,27 @@
   readonly mode: 'finish' | 'abort';
 }
 
-/** Give up the membership at once. */
+/** Leave the group at once. */
 export interface LeaveOrder extends ToGroup {
   readonly kind: 'leave';
 }
 
-/** Load a model's weights onto the host, beside all other work. */
+/** Load a model's weights onto the host, in the background. */
 export interface StageOrder {
   readonly kind: 'stage';
   readonly model: ModelId;
 }
 
+/** Any order to a backend server. */
 export type ServerOrder = JoinOrder | OpenOrder | CloseOrder | LeaveOrder | StageOrder;
 
 /**
- * - `done`: the order has begun, or what it asks for holds already.
- * - `refused`: it does not fit the server's state; it had no effect and never will.
- * - `other-server`: another server answers at the address; the one meant has ended.
- * - `not-sent`: no byte left, as when the connection was refused.
- * - `unknown`: no answer; it may take effect now, later or never.
+ * Result of an order.
+ *
+ * - `done`: the order has started, or its effect is already in place.
+ * - `refused`: it doesn't fit the server's state; it had no effect and never will.
+ * - `other-server`: another server responds at the address; the intended one has ended.
+ * - `not-sent`: no byte was sent, for example because the connection was refused.
+ * - `unknown`: no response; it may take effect now, later or never.
  */
 export type OrderResult = 'done' | 'refused' | 'other-server' | 'not-sent' | 'unknown';
--- a/src/core/gateway/polling.ts
+++ b/src/core/gateway/polling.ts
@@ -1,70 +1,76 @@
 /**
- * How long a poll of the platform's store may stay out, and when it is given up for a new one.
+ * Timeouts of long polls of the platform's store: how long a poll may stay open, and when it is abandoned
+ * for a new one.
  *
- * Load pattern: the store, or the connections to it, fall silent for some seconds while an operator
- * changes the configuration and servers leave. A call that is out then, or sent meanwhile, is never
- * answered, and nothing tells it from a poll that has nothing to report. All daemons learned the last
- * change at the same moment and ask in step, so that none can tell the others what it knows.
+ * Load pattern: the store, or the connections to it, stop responding for some seconds while an operator
+ * changes the configuration and servers leave. A call that is open then, or sent meanwhile, is never
+ * answered, and cannot be distinguished from a poll without changes to report. All daemons received the last
+ * change at the same moment and poll in step, so none has newer data that it could send to the others.
  *
- * Every call is therefore over early enough for a fresh one within the time that a disturbed daemon has
- * to be in order again.
+ * Every call therefore ends early enough for a new one within the settling time, in which a disturbed daemon
+ * must have recovered.
  */
 
 import { later } from '../ids';
 import type { MonoTime } from '../ids';
 
 /**
- * A call's way to the store and back with the store's own time, milliseconds: three times the answer of
- * a store that has become fifty times slower than usual.
+ * Round trip to the store including its processing time: three times the response time of a store that has
+ * become fifty times slower than usual.
  */
-const ANSWER_MS = 800;
+const ROUND_TRIP_MS = 800;
 /**
- * Part of the settling time that a call may stay out. The rest is for what precedes the next one (up to
- * 0.5 s between tries, and 0.1 s until it is noticed) and for its answer.
+ * Part of the settling time that a call may stay open. The rest is for the steps before the next one (up to
+ * 0.5 s between attempts, and 0.1 s until the timeout is noticed) and for its response.
  */
-const CALL_SHARE = 0.7;
+const MAX_CALL_SHARE = 0.7;
 
+/** Input for planning a poll. */
 export interface PollParams {
   readonly now: MonoTime;
-  /** A disturbed daemon keeps its promises again after this, milliseconds. */
+  /** Time within which a disturbed daemon must have recovered, milliseconds. */
   readonly settleMs: number;
-  /** How long the store should hold the call for a change, where nothing speaks against it. */
+  /** How long the store should hold the call for a change unless a shorter time is required, milliseconds. */
   readonly preferredWaitMs: number;
-  /** Until when a peer's word shows that what is known here is young enough. */
+  /** Until when a peer's report shows that this daemon's data is fresh. */
   readonly freshUntil: MonoTime;
-  /** The last call had no answer. */
+  /** Whether the last call had no response. */
   readonly isFailing: boolean;
 }
 
-/** A call that is out. */
+/** A call in progress. */
 export interface Poll {
-  /** The store holds the call for so long if nothing changes. */
+  /** Time for which the store holds the call if nothing changes, milliseconds. */
   readonly waitMs: number;
-  /** A store that answers other calls from now on should have answered this one. */
+  /** A store that answers another call after this instant should have answered this one. */
   readonly dueAt: MonoTime;
-  /** From now on it is worth having only while a peer vouches for what is known here. */
+  /** From this instant the call is kept only while a peer reports that this daemon's data is fresh. */
   readonly renewAt: MonoTime;
-  /** No answer will come any more. */
+  /** From this instant no response is expected any more. */
   readonly overdueAt: MonoTime;
 }
 
-/** Longest time that a call may stay out while nobody else vouches for what is known, milliseconds. */
+/** Longest time that a call may stay open while no peer reports that the data is fresh, milliseconds. */
 export function maxCallMs(settleMs: number): number {
-  return settleMs * CALL_SHARE;
+  return settleMs * MAX_CALL_SHARE;
 }
 
-/** What the next poll asks for. After a failure the store is only asked whether it is back. */
-export function planPoll(needs: PollParams): Poll {
-  const { now, settleMs, preferredWaitMs: wishedMs, freshUntil: trustedUntil, isFailing } = needs;
-  const longestMs = maxCallMs(settleMs);
-  const renewAt = later(now, longestMs);
-  if (isFailing) return { waitMs: 0, dueAt: later(now, ANSWER_MS), renewAt, overdueAt: renewAt };
-  const isTrusted = now < trustedUntil;
-  const waitMs = isTrusted ? wishedMs : Math.max(0, Math.min(wishedMs, longestMs - ANSWER_MS));
-  const dueAt = later(now, waitMs + ANSWER_MS);
+/** Plans the next poll. After a failure the store isn't asked to hold the call, only whether it responds. */
+export function planPoll(params: PollParams): Poll {
+  const { now, settleMs, preferredWaitMs, freshUntil, isFailing } = params;
+  const maxMs = maxCallMs(settleMs);
+  const renewAt = later(now, maxMs);
+  if (isFailing)
+    return { waitMs: 0, dueAt: later(now, ROUND_TRIP_MS), renewAt, overdueAt: renewAt };
+  const isFresh = now < freshUntil;
+  const waitMs = isFresh
+    ? preferredWaitMs
+    : Math.max(0, Math.min(preferredWaitMs, maxMs - ROUND_TRIP_MS));
+  const dueAt = later(now, waitMs + ROUND_TRIP_MS);
   return { waitMs, dueAt, renewAt, overdueAt: dueAt };
 }
 
+/** What is known while a poll is in progress. */
 export interface PollProgress {
   readonly now: MonoTime;
   readonly freshUntil: MonoTime;
@@ -73,17 +79,17 @@
 }
 
 /**
- * `overdue`: no answer will come, and the store counts as lost; `renew`: an answer may still come, but
- * what is known here has grown too old to wait for it.
+ * What to do with a poll.
+ *
+ * - `wait`: continue to wait.
+ * - `renew`: a response may still arrive, but the data has become too stale to wait for it.
+ * - `overdue`: no response will arrive, and the store counts as lost.
  */
 export type PollDecision = 'wait' | 'renew' | 'overdue';
 
-/** Whether to go on waiting for the answer. */
-export function checkPoll(
-  poll: Poll,
-  { now, freshUntil: trustedUntil, answeredAt }: PollProgress,
-): PollDecision {
+/** Decides whether to continue waiting for the response. */
+export function checkPoll(poll: Poll, { now, freshUntil, answeredAt }: PollProgress): PollDecision {
   const isOvertaken = answeredAt !== undefined && answeredAt >= poll.dueAt;
   if (isOvertaken || now >= poll.overdueAt) return 'overdue';
-  return now >= poll.renewAt && now >= trustedUntil ? 'renew' : 'wait';
+  return now >= poll.renewAt && now >= freshUntil ? 'renew' : 'wait';
 }
--- a/src/core/gateway/progress.ts
+++ b/src/core/gateway/progress.ts
@@ -1,17 +1,18 @@
 /**
- * Notices groups that have stopped to produce. A group whose head waits for a lost member keeps its
- * connections open and sends nothing: the silence of all its streams at once is the first sign,
- * seconds before the platform's list or the engine itself say so.
+ * Detects stalled groups and measures their speed. A group whose head waits for a lost member keeps its
+ * connections open and sends nothing: that all its streams are idle at once is the first sign, seconds before
+ * the platform's registry or the engine reports it.
  */
 
 import { later } from '../ids';
 import type { MonoTime } from '../ids';
 import type { EngineSpec } from './types';
 
+/** Parameters of stall detection. */
 export interface ProgressOptions {
-  /** Silence of a group with streams running that is evidence of a fault, in usual pauses between events. */
+  /** Idle time of a group with running streams that indicates a stall, in mean pauses between events. */
   readonly stallPauses: number;
-  /** Least silence, milliseconds: prompts that are read between the tokens of others hold all streams up. */
+  /** Minimum of that idle time, milliseconds: prefill between decoding steps delays all streams. */
   readonly minStallMs: number;
   /** Weight of the latest pause in the running mean. */
   readonly smoothing: number;
@@ -23,22 +24,23 @@
   smoothing: 0.2,
 };
 
-/** What this daemon saw of one group. */
+/** What this daemon has observed of one group. */
 export interface Progress {
-  /** Requests of this daemon that the group has and that have not ended. */
+  /** Requests of this daemon that are running in the group. */
   readonly running: number;
-  /** How many of them have given an event. */
+  /** How many of them have received an event. */
   readonly started: number;
-  /** Tokens of the prompts of the others. */
+  /** Prompt tokens of the others. */
   readonly pendingPrefill: number;
-  /** The group is expected to show life from here on: its latest event, or the send that ended an idle time. */
+  /** Start of the idle time: the latest event, or the first send to a group that had no requests. */
   readonly since: MonoTime;
-  /** Mean pause between events of a stream, milliseconds; undefined until two were seen. */
+  /** Mean pause between events of a stream, milliseconds; undefined until a stream has had two. */
   readonly pauseMs: number | undefined;
-  /** When an event of any stream was last seen. */
+  /** When the last event of any stream was received. */
   readonly eventAt: MonoTime | undefined;
 }
 
+/** Progress of a group that nothing was sent to yet. */
 export function createProgress(now: MonoTime): Progress {
   return {
     running: 0,
@@ -50,25 +52,26 @@
   };
 }
 
+/** Records that a request was sent to the group. */
 export function noteSent(progress: Progress, now: MonoTime, promptTokens: number): Progress {
   const since = progress.running === 0 ? now : progress.since;
-  const unread = progress.pendingPrefill + promptTokens;
-  return { ...progress, running: progress.running + 1, pendingPrefill: unread, since };
+  const pendingPrefill = progress.pendingPrefill + promptTokens;
+  return { ...progress, running: progress.running + 1, pendingPrefill, since };
 }
 
-/** A request has ended; `unread` is its prompt where it gave no event. */
-export function noteEnded(progress: Progress, unread: number): Progress {
+/** Records the end of a request; `pendingPrefill` is its prompt length if it received no event, else 0. */
+export function noteEnded(progress: Progress, pendingPrefill: number): Progress {
   const running = Math.max(0, progress.running - 1);
-  const started = progress.started - (unread === 0 ? 1 : 0);
+  const started = progress.started - (pendingPrefill === 0 ? 1 : 0);
   return {
     ...progress,
     running,
     started: Math.max(0, Math.min(running, started)),
-    pendingPrefill: Math.max(0, progress.pendingPrefill - unread),
+    pendingPrefill: Math.max(0, progress.pendingPrefill - pendingPrefill),
   };
 }
 
-/** The first event of a request: its prompt has been read. */
+/** Records the first event of a request, which shows that its prompt was prefilled. */
 export function notePrefilled(progress: Progress, promptTokens: number): Progress {
   const started = Math.min(progress.running, progress.started + 1);
   return {
@@ -78,7 +81,7 @@
   };
 }
 
-/** Takes in an event of any of the group's streams; `pauseMs` is the time since that stream's last one. */
+/** Records an event of any of the group's streams; `pauseMs` is the time since that stream's previous one. */
 export function noteEvent(
   progress: Progress,
   now: MonoTime,
@@ -90,86 +93,92 @@
   return { ...progress, since: now, eventAt: now, pauseMs: mean + smoothing * (pauseMs - mean) };
 }
 
-/** Pause between events of a stream in a group that runs `running` requests, by the published figures. */
+/**
+ * Pause between events of a stream in a group that runs `running` requests, milliseconds, by the published
+ * performance model. `pace` is the model's factor on all times.
+ */
 export function expectedPauseMs(engine: EngineSpec, pace: number, running: number): number {
   const contextK = (engine.usual.prompt + engine.usual.answer) / 1000;
   const perRequest = engine.perRequestMs + engine.perContextKMs * contextK;
   return pace * engine.stepsPerPass * (engine.stepMs + perRequest * running);
 }
 
-/** How long a usual request holds a place in a group that runs `running` requests, by the published figures. */
+/**
+ * Time for which a mean request holds a slot in a group that runs `running` requests, milliseconds, by the
+ * published performance model.
+ */
 export function publishedHoldMs(engine: EngineSpec, pace: number, running: number): number {
   const { prompt, answer } = engine.usual;
   const stepMs = expectedPauseMs(engine, pace, running) / engine.stepsPerPass;
   return (pace * prompt) / engine.prefillTokensPerMs + answer * stepMs;
 }
 
-/** What was seen of a group's pace says nothing of it after this, milliseconds: slow spells end. */
-const PACE_FRESH_MS = 2_500;
+/** Observed slowdown is stale after this time, since slow periods end. */
+const SLOWDOWN_FRESH_MS = 2_500;
 
-/** How many times slower than usual the group was of late, 1 at least; undefined where none of its events was seen. */
+/** Recent slowdown factor of the group, at least 1; undefined if it had no recent events. */
 export function slowdownOf(
   { pauseMs, eventAt }: Progress,
-  usualMs: number,
+  expectedMs: number,
   now: MonoTime,
 ): number | undefined {
   if (pauseMs === undefined || eventAt === undefined) return undefined;
-  return now < later(eventAt, PACE_FRESH_MS) ? Math.max(1, pauseMs / usualMs) : undefined;
+  return now < later(eventAt, SLOWDOWN_FRESH_MS) ? Math.max(1, pauseMs / expectedMs) : undefined;
 }
 
 /**
- * When the group's silence becomes evidence of a fault; undefined while nothing runs there. Prompts
- * that wait to be read, of all daemons, hold the group's events up for `readingMs`.
+ * When the group's idle time becomes evidence of a stall; undefined while this daemon has no requests there.
+ * Pending prompts of all daemons delay the group's events by `prefillMs`.
  */
 export function stalledAt(
   progress: Progress,
-  usualMs: number,
-  readingMs: number,
-  { stallPauses: pauses, minStallMs: leastMs }: ProgressOptions = PROGRESS_DEFAULTS,
+  expectedMs: number,
+  prefillMs: number,
+  { stallPauses, minStallMs }: ProgressOptions = PROGRESS_DEFAULTS,
 ): MonoTime | undefined {
   if (progress.running === 0) return undefined;
-  const expected = Math.max(usualMs, progress.pauseMs ?? 0);
-  return later(progress.since, Math.max(leastMs, pauses * expected) + readingMs);
+  const pauseMs = Math.max(expectedMs, progress.pauseMs ?? 0);
+  return later(progress.since, Math.max(minStallMs, stallPauses * pauseMs) + prefillMs);
 }
 
-/** Silence of streams without any event that is evidence of a fault, while others have streams there, ms. */
-const FIRST_EVENT_MS = 1_200;
+/** Idle time that indicates a stall if no stream here has had an event, while other daemons have streams there. */
+const FIRST_EVENT_STALL_MS = 1_200;
 /**
- * The same where nothing is known of the others' streams, as in the seconds after all daemons were lost:
- * callers then come back together, and groups are filled by daemons that do not see each other.
+ * The same if the other daemons' streams aren't known, as in the seconds after all daemons were lost: callers
+ * then retry together, and groups are filled by daemons that don't see each other's load.
  */
-const FIRST_EVENT_UNSEEN_MS = 2_000;
+const FIRST_EVENT_STALL_UNKNOWN_LOAD_MS = 2_000;
 
 /**
- * When the silence of a group becomes evidence where others have streams in it. A wait for the first
- * events alone shows little: prompts are read in turn, and the group may be full. Those whose streams
- * had begun see a fault at once.
+ * When a group's idle time becomes evidence of a stall if other daemons have streams in it. Waiting for
+ * first events alone is weak evidence: prompts are prefilled one after another, and the group may be full.
+ * Daemons whose streams have started detect the stall sooner.
  */
 export function sharedGroupStalledAt(
   progress: Progress,
-  usualMs: number,
-  readingMs: number,
-  knowsOthers: boolean,
+  expectedMs: number,
+  prefillMs: number,
+  hasPeerLoads: boolean,
 ): MonoTime | undefined {
   if (progress.running === 0 || progress.started > 0)
-    return stalledAt(progress, usualMs, readingMs);
-  const firstEventMs = knowsOthers ? FIRST_EVENT_MS : FIRST_EVENT_UNSEEN_MS;
-  return later(progress.since, firstEventMs + readingMs);
+    return stalledAt(progress, expectedMs, prefillMs);
+  const firstEventMs = hasPeerLoads ? FIRST_EVENT_STALL_MS : FIRST_EVENT_STALL_UNKNOWN_LOAD_MS;
+  return later(progress.since, firstEventMs + prefillMs);
 }
 
-/** Part of a caller's longest pause that reading others' prompts may take up. */
-const READING_SHARE = 0.8;
+/** Part of a caller's longest permitted pause that the prefill of other prompts may take. */
+const PREFILL_SHARE = 0.8;
 
 /**
- * Prompt tokens that may wait in a group at a time. A pass of the engine that reads prompts holds up
- * the next events of all streams, which must not wait for longer than `gapMs`.
+ * Prompt tokens that may wait for prefill in a group at a time. A pass of the engine that prefills prompts
+ * delays the next events of all streams, which must not wait longer than `maxPauseMs`.
  */
 export function maxPrefillTokens(
   engine: EngineSpec,
   pace: number,
   running: number,
-  gapMs: number,
+  maxPauseMs: number,
 ): number {
-  const readingMs = READING_SHARE * gapMs - expectedPauseMs(engine, pace, running);
-  return Math.max(engine.usual.prompt, (readingMs / pace) * engine.prefillTokensPerMs);
+  const prefillMs = PREFILL_SHARE * maxPauseMs - expectedPauseMs(engine, pace, running);
+  return Math.max(engine.usual.prompt, (prefillMs / pace) * engine.prefillTokensPerMs);
 }
--- a/src/core/gateway/relays.ts
+++ b/src/core/gateway/relays.ts
@@ -1,20 +1,21 @@
 /**
- * Which daemons pass a leader's messages on, and to whom.
+ * Chooses the daemons that relay a leader's messages, and the peers that each relays to.
  *
- * Load pattern: one daemon tells hundreds of others several times a second what all have running and
- * what changed among the servers. Sent to each, its bytes and writes grow with the fleet, and its own
- * link and processor are full long before those of the others: it is then late with groups and with its
- * lease. Through relays each daemon sends to about the square root of the fleet.
+ * Load pattern: the leader sends hundreds of daemons the loads of all and the changes of servers, several times
+ * a second. Sent to each directly, its bytes and writes grow with the fleet and saturate its link and
+ * processor long before those of the others: it is then late in planning groups and renewing its lease. With
+ * relays each daemon sends to about the square root of the fleet.
  *
- * A relay is a daemon that was heard of within the last moments; one that falls silent is replaced with
- * the next message. Daemons that were not heard of lately are told directly, so that nothing but a
- * failed relay stands between the leader and a daemon that lives.
+ * A relay is a daemon that was heard from very recently; one that becomes silent is replaced with the next
+ * message. Daemons that weren't heard from recently are sent to directly, so that only the failure of a relay
+ * can separate the leader from a live daemon.
  */
 
 import type { DaemonId, MonoTime, ZoneId } from '../ids';
 import { later } from '../ids';
 import { rankByRendezvous } from '../membership/rendezvous';
 
+/** A peer of the leader. */
 export interface RelayPeer {
   readonly id: DaemonId;
   readonly address: string;
@@ -22,31 +23,32 @@
   /** Processor cores that the daemon may use. */
   readonly cores: number;
   readonly isStopping: boolean;
-  /** Whether what the leader says reaches it. */
+  /** Whether it receives the leader's messages. */
   readonly hearsLeader: boolean;
-  /** When it was last heard of. */
+  /** When it was last heard from. */
   readonly at: MonoTime;
 }
 
+/** Times after which peers are no longer used as relays or reached through one. */
 export interface RelayOptions {
-  /** A relay was heard of within this time, milliseconds: three statements of a daemon to its leader. */
+  /** A relay must have been heard from within this time, milliseconds: three reports of a daemon to its leader. */
   readonly relayFreshMs: number;
-  /** A peer that was not heard of for so long may be out of its relay's reach: it is told directly. */
+  /** A peer not heard from for this long may be unreachable for its relay and is sent to directly; milliseconds. */
   readonly peerFreshMs: number;
 }
 
 export const RELAY_DEFAULTS: RelayOptions = { relayFreshMs: 700, peerFreshMs: 1_200 };
 
-/** Whom to send a message to, and to whom each of them passes it on. */
+/** Addresses to send a message to, each with the addresses that it relays the message to. */
 export type FanOut = ReadonlyMap<string, readonly string[]>;
 
-/** Relays of a zone: the strongest daemons first, among equals by their rank for the zone. */
+/** Relays of a zone: the daemons with the most cores, ties by their rendezvous rank for the zone. */
 function pickRelays(zone: ZoneId, peers: readonly RelayPeer[], count: number): RelayPeer[] {
   const order = rankByRendezvous(
     zone,
     peers.map(({ id }) => id),
   );
-  const rank = new Map(order.map((id, place) => [id, place]));
+  const rank = new Map(order.map((id, index) => [id, index]));
   const rankOf = ({ id }: RelayPeer): number => rank.get(id) ?? 0;
   return [...peers].sort((a, b) => b.cores - a.cores || rankOf(a) - rankOf(b)).slice(0, count);
 }
@@ -54,37 +56,37 @@
 function byZone(peers: readonly RelayPeer[]): ReadonlyMap<ZoneId, RelayPeer[]> {
   const zones = new Map<ZoneId, RelayPeer[]>();
   for (const peer of peers) {
-    const found = zones.get(peer.zone);
-    if (found) found.push(peer);
+    const members = zones.get(peer.zone);
+    if (members) members.push(peer);
     else zones.set(peer.zone, [peer]);
   }
   return zones;
 }
 
-/** Divides a leader's peers among relays of their own zones. */
+/** Assigns a leader's peers to relays in their own zones. */
 export function planFanOut(
   peers: readonly RelayPeer[],
   now: MonoTime,
   { relayFreshMs, peerFreshMs }: RelayOptions = RELAY_DEFAULTS,
 ): FanOut {
   const fanOut = new Map<string, string[]>();
-  const isNear = ({ at, hearsLeader }: RelayPeer): boolean =>
+  const isReachable = ({ at, hearsLeader }: RelayPeer): boolean =>
     hearsLeader && now < later(at, peerFreshMs);
-  const near = peers.filter(isNear);
-  for (const peer of peers) if (!isNear(peer)) fanOut.set(peer.address, []);
-  for (const [zone, members] of byZone(near)) {
-    const able = members.filter(
+  const reachable = peers.filter(isReachable);
+  for (const peer of peers) if (!isReachable(peer)) fanOut.set(peer.address, []);
+  for (const [zone, members] of byZone(reachable)) {
+    const eligible = members.filter(
       ({ at, isStopping }) => !isStopping && now < later(at, relayFreshMs),
     );
-    // All zones together have the square root of the fleet.
-    const count = Math.max(1, Math.round(members.length / Math.sqrt(near.length)));
-    divide(fanOut, members, pickRelays(zone, able, count));
+    // All zones together get about the square root of the number of peers.
+    const count = Math.max(1, Math.round(members.length / Math.sqrt(reachable.length)));
+    assign(fanOut, members, pickRelays(zone, eligible, count));
   }
   return fanOut;
 }
 
-/** Enters the relays of a zone, each with its part of the other members; without a relay all are told directly. */
-function divide(
+/** Adds a zone's relays, each with its part of the other members; without a relay all are sent to directly. */
+function assign(
   fanOut: Map<string, string[]>,
   members: readonly RelayPeer[],
   relays: readonly RelayPeer[],
--- a/src/core/gateway/retry-budget.ts
+++ b/src/core/gateway/retry-budget.ts
@@ -1,30 +1,35 @@
 /**
- * One daemon's part of the retries that a fleet may make in any window: a share of the requests and a
- * fixed number. Half of the fixed number is at hand at any moment, the other half comes back over a
- * window, so that no window holds more than the whole.
+ * One daemon's part of the retry budget of a fleet. In any window the fleet may make a fixed number of
+ * retries plus a share of the requests. Half of the fixed number can be used at once and the other half is
+ * refilled over a window, so that no window exceeds the total.
  *
- * Load pattern: a group is lost, and all its streams need a retry at the same moment. In a large fleet a
- * daemon has one of them, or two or three, and its part of the fixed number is less than one. So a small
- * share of the requests of the last window is at hand beside it. The users count the requests of the
- * window before where they are more, which is what this share stands on.
+ * Load pattern: a group is lost, and all its streams need a retry at the same moment. In a large fleet one
+ * daemon has one to three of them, while its part of the fixed number is less than one. So a small share of
+ * the requests of the last window can be saved up in addition. This stays within the limit because users
+ * count the requests of the previous window if these are more.
  */
 
 import type { MonoTime } from '../ids';
 
+/** Retries that the fleet may make. */
 export interface FleetAllowance {
+  /** Retries per request. */
   readonly ratio: number;
-  /** A further share, of the requests of the last window, that may be saved up. */
+  /** Further retries per request of the last window, which may be saved up. */
   readonly burstRatio?: number;
+  /** Fixed number of retries per window. */
   readonly slack: number;
   readonly windowMs: number;
-  /** Daemons that the fixed number is divided by. */
+  /** Number of daemons that the fixed number is divided among. */
   readonly daemons: number;
 }
 
+/** One daemon's token bucket; a retry takes one token. */
 export interface FleetBudget {
   readonly tokens: number;
-  /** Requests sent for the first time within about a window. */
+  /** First attempts within about a window, decaying exponentially. */
   readonly recentRequests: number;
+  /** When it was last refilled. */
   readonly at: MonoTime;
 }
 
@@ -33,39 +38,43 @@
 }
 
 /**
- * The budget of a process that has just started: nothing is saved, since its life before may have spent
- * its part in the same window. Load pattern: most daemons are killed while servers reject a third of
- * what they get; a fleet whose every restart began with a fresh part would spend more than its allowance.
+ * The budget of a process that has just started. It is empty, since the previous process may have spent its
+ * part in the same window. Load pattern: most daemons are killed while servers reject a third of their
+ * requests; if every restart began with a full bucket, the fleet would exceed its allowance.
  */
 export function createFleetBudget(now: MonoTime): FleetBudget {
   return { tokens: 0, recentRequests: 0, at: now };
 }
 
-/** Most that may be saved; a retry is always whole. */
-function mostSaved(allowance: FleetAllowance, recent: number): number {
-  return Math.max(1, halfSlack(allowance) + (allowance.burstRatio ?? 0) * recent);
+/** Capacity of the bucket; at least one, as a retry takes a complete token. */
+function maxTokens(allowance: FleetAllowance, recentRequests: number): number {
+  return Math.max(1, halfSlack(allowance) + (allowance.burstRatio ?? 0) * recentRequests);
 }
 
 function refill(budget: FleetBudget, allowance: FleetAllowance, now: MonoTime): FleetBudget {
   const windows = Math.max(0, now - budget.at) / allowance.windowMs;
-  const recent = budget.recentRequests * Math.exp(-windows);
-  const saved = budget.tokens + halfSlack(allowance) * windows;
-  return { tokens: Math.min(mostSaved(allowance, recent), saved), recentRequests: recent, at: now };
+  const recentRequests = budget.recentRequests * Math.exp(-windows);
+  const tokens = budget.tokens + halfSlack(allowance) * windows;
+  return {
+    tokens: Math.min(maxTokens(allowance, recentRequests), tokens),
+    recentRequests,
+    at: now,
+  };
 }
 
-/** A request was sent for the first time. */
+/** Records the first attempt of a request. */
 export function noteFirstSend(
   budget: FleetBudget,
   allowance: FleetAllowance,
   now: MonoTime,
 ): FleetBudget {
   const refilled = refill(budget, allowance, now);
-  const recent = refilled.recentRequests + 1;
-  const saved = Math.min(mostSaved(allowance, recent), refilled.tokens + allowance.ratio);
-  return { ...refilled, recentRequests: recent, tokens: saved };
+  const recentRequests = refilled.recentRequests + 1;
+  const tokens = Math.min(maxTokens(allowance, recentRequests), refilled.tokens + allowance.ratio);
+  return { ...refilled, recentRequests, tokens };
 }
 
-/** Undefined if no retry is left. */
+/** The budget after one retry; undefined if no retry is available. */
 export function takeRetry(
   budget: FleetBudget,
   allowance: FleetAllowance,
--- a/src/core/gateway/routes.ts
+++ b/src/core/gateway/routes.ts
@@ -1,16 +1,18 @@
-/** Finds the route and the organisation of a call. Built once for each version of the configuration. */
+/** Looks up the route and the organisation of a call. The table is built once per configuration version. */
 
 import type { OrganisationId, ServiceId } from '../ids';
 import type { GatewayConfig, GatewayOrganisation, Route, ServiceSpec } from './types';
 
+/** Indexes of a configuration. */
 export interface RouteTable {
   readonly config: GatewayConfig;
-  /** The route with the longest prefix that begins the path. */
+  /** The route of the host with the longest prefix of the path; the host is case-insensitive. */
   find(host: string, path: string): Route | undefined;
   organisationOf(apiKey: string): GatewayOrganisation | undefined;
   service(name: ServiceId): ServiceSpec | undefined;
 }
 
+/** Indexes the configuration's routes, API keys and services. */
 export function createRouteTable(config: GatewayConfig): RouteTable {
   const hosts = new Map<string, Map<string, Route>>();
   for (const route of config.routes) {
@@ -32,7 +34,7 @@
   };
 }
 
-/** Prefixes end with a slash, so only cuts after a slash can match: a lookup for each, longest first. */
+/** Prefixes end with a slash, so only those ending at a slash of the path are looked up, longest first. */
 function findLongest(prefixes: Map<string, Route> | undefined, path: string): Route | undefined {
   if (!prefixes) return undefined;
   for (let end = path.lastIndexOf('/'); end >= 0; end = path.lastIndexOf('/', end - 1)) {
@@ -43,37 +45,37 @@
   return undefined;
 }
 
-/** Picks one of the route's services by weight; `chance` is in [0, 1). */
+/** Picks one of the route's services at random by weight; `chance` is in [0, 1). */
 export function pickTarget(route: Route, chance: number): ServiceId | undefined {
   const total = route.targets.reduce((sum, { weight }) => sum + weight, 0);
-  let left = chance * total;
+  let remaining = chance * total;
   for (const { service, weight } of route.targets) {
-    left -= weight;
-    if (left < 0) return service;
+    remaining -= weight;
+    if (remaining < 0) return service;
   }
   return route.targets.at(-1)?.service;
 }
 
-/** The caller's rank: its organisation's priority if it has one, else the route's. */
+/** The caller's priority: its organisation's if that has one, else the route's. */
 export function priorityOf(route: Route, organisation?: { readonly priority?: number }): number {
   return organisation?.priority ?? route.priority;
 }
 
-/** Who is calling, or why that is not known. */
+/** The identified caller, or why it isn't known. */
 export type Caller =
   | { readonly kind: 'known'; readonly organisation: GatewayOrganisation }
   | { readonly kind: 'anonymous' }
   | { readonly kind: 'unknown-key' };
 
-/** Matches the key of a call. A configuration without organisations asks for no key. */
+/** Identifies the caller by its API key. No key is needed on public routes or without any organisations. */
 export function identifyCaller(table: RouteTable, route: Route, apiKey?: string): Caller {
   const organisation = apiKey === undefined ? undefined : table.organisationOf(apiKey);
   if (organisation) return { kind: 'known', organisation };
-  const isOpen = route.isPublic || table.config.organisations.length === 0;
-  return isOpen ? { kind: 'anonymous' } : { kind: 'unknown-key' };
+  const allowsAnonymous = route.isPublic || table.config.organisations.length === 0;
+  return allowsAnonymous ? { kind: 'anonymous' } : { kind: 'unknown-key' };
 }
 
-/** The organisation's name, where one is known. */
+/** The name of the caller's organisation; undefined if it isn't known. */
 export function organisationNameOf(caller: Caller): OrganisationId | undefined {
   return caller.kind === 'known' ? caller.organisation.name : undefined;
 }
--- a/src/core/gateway/succession.ts
+++ b/src/core/gateway/succession.ts
@@ -1,9 +1,9 @@
 /**
- * The order in which daemons take the lease of the leader.
+ * The order in which daemons try to acquire the leader's lease.
  *
- * Load pattern: a fleet of hundreds in which most machines have a third of a core. The leader plans
- * groups and hears all the others; on a small machine it is late with its own renewals. The strongest
- * machines go first, in an order that all daemons work out alike.
+ * Load pattern: a fleet of hundreds in which most machines have a third of a core. The leader plans groups
+ * and receives the reports of all others; on a small machine it is late in renewing its lease. So daemons
+ * with the most cores go first, in an order that all daemons compute alike.
  */
 
 import type { DaemonId } from '../ids';
@@ -12,21 +12,20 @@
 /** Processor cores by daemon. */
 export type CoreCounts = ReadonlyMap<DaemonId, number>;
 
-export function rankSuccessors(lease: string, strengths: CoreCounts): readonly DaemonId[] {
-  const coresOf = (id: DaemonId): number => strengths.get(id) ?? 0;
-  return [...rankByRendezvous(lease, [...strengths.keys()])].sort(
-    (a, b) => coresOf(b) - coresOf(a),
-  );
+/** All daemons, the first candidate for the lease first: by cores, ties by rendezvous hashing. */
+export function rankSuccessors(lease: string, cores: CoreCounts): readonly DaemonId[] {
+  const coresOf = (id: DaemonId): number => cores.get(id) ?? 0;
+  return [...rankByRendezvous(lease, [...cores.keys()])].sort((a, b) => coresOf(b) - coresOf(a));
 }
 
-/** So many of the first in line look at the lease from the start. */
+/** Number of first candidates that read the lease without delay. */
 const FIRST_READERS = 6;
 
 /**
- * How long a daemon waits before it looks at the lease while it hears of no leader, milliseconds. Those
- * behind look only once the ones before them have had their turns: hundreds that ask the store together
- * for a lease that one of them may take are a load and bring nothing.
+ * Time for which a daemon without a known leader waits before it reads the lease, milliseconds. Each later
+ * candidate waits `stepMs` longer than the one before it: hundreds of daemons reading at once a lease that only
+ * one can acquire would load the store for nothing.
  */
-export function leaseReadDelayMs(rank: number, turnMs: number): number {
-  return Math.max(0, rank - FIRST_READERS) * turnMs;
+export function leaseReadDelayMs(rank: number, stepMs: number): number {
+  return Math.max(0, rank - FIRST_READERS) * stepMs;
 }
--- a/src/core/gateway/types.ts
+++ b/src/core/gateway/types.ts
@@ -1,4 +1,4 @@
-/** What the gateway routes: routes, services, backend servers, and the callers' organisations. */
+/** Types of the gateway's configuration and of its backend servers. */
 
 import type {
   ConfigVersion,
@@ -15,17 +15,21 @@
 } from '../ids';
 
 /**
- * How often a call may run. `safe`: any number of times. `unsafe`: once for each attempt of the
- * caller. `stream`: an event stream of a model; as `safe` if its route is resumable, else `unsafe`.
+ * How often a call may run.
+ *
+ * - `safe`: any number of times.
+ * - `unsafe`: once for each attempt of the caller.
+ * - `stream`: an event stream of a model; like `safe` if its route is resumable, else like `unsafe`.
  */
 export type CallKind = 'safe' | 'unsafe' | 'stream';
 
-/** A service with its share of a route's calls. */
+/** A service, with its weight among a route's targets. */
 export interface RouteTarget {
   readonly service: ServiceId;
   readonly weight: number;
 }
 
+/** A route: calls to a host and path prefix, and how they are handled. */
 export interface Route {
   readonly name: string;
   readonly host: string;
@@ -39,22 +43,22 @@
   /** 0 is the most urgent. */
   readonly priority: number;
   readonly targets: readonly RouteTarget[];
-  /** Backend servers that one call may be sent to. */
+  /** Maximum number of backend servers that one call may be sent to. */
   readonly maxAttempts: number;
-  /** Whether a call needs no API key. */
+  /** Whether calls are accepted without an API key. */
   readonly isPublic: boolean;
-  /** Whether a broken stream may be resumed at another server. */
+  /** Whether an interrupted stream may be resumed on another server. */
   readonly isResumable: boolean;
-  /** Longest pause between events of a stream that is on time, milliseconds. */
+  /** Longest pause between events with which a stream counts as on time, milliseconds. */
   readonly maxPauseMs: number;
 }
 
-/** A model that a service's replica groups serve. */
+/** A model served by a service's replica groups. */
 export interface ModelSpec {
   readonly name: ModelId;
-  /** Members of a replica group. */
+  /** Number of members of a replica group. */
   readonly size: number;
-  /** Factor on all times of a group of this model. */
+  /** Factor on the engine's published times for this model. */
   readonly pace: number;
   /** The model's share of the service's work, 0 to 1. */
   readonly share: number;
@@ -64,11 +68,11 @@
   readonly warmMs: number;
 }
 
-/** The published performance model of a service's engines; times in milliseconds. */
+/** Published performance model of a service's engines; times in milliseconds. */
 export interface EngineSpec {
-  /** Requests that a group runs at a time. */
+  /** Requests that a group runs concurrently. */
   readonly batchSize: number;
-  /** Decoding steps of one pass, and tokens in one event. */
+  /** Decoding steps per pass, which is also the number of tokens per event. */
   readonly stepsPerPass: number;
   readonly stepMs: number;
   /** Added to a step by each running request. */
@@ -77,24 +81,25 @@
   readonly perContextKMs: number;
   readonly prefillTokensPerMs: number;
   readonly models: readonly ModelSpec[];
-  /** Weight loads that may start in a second, over all servers. */
+  /** Weight loads that may start per second, over all servers. */
   readonly loadsPerS: number;
-  /** Weight loads at a time that do not slow each other down. */
+  /** Concurrent weight loads that don't slow each other down. */
   readonly loadsAtOnce: number;
-  /** Mean tokens of a prompt and of an answer. */
+  /** Mean number of tokens in a prompt and in an answer. */
   readonly usual: { readonly prompt: number; readonly answer: number };
 }
 
+/** A service that routes may target. */
 export interface ServiceSpec {
   readonly name: ServiceId;
   readonly healthPath: string;
-  /** Connections that one server takes, from all daemons together. */
+  /** Maximum connections to one server, from all daemons together. */
   readonly maxConns: number;
-  /** Absent for plain services. */
+  /** Absent for plain services, whose servers form no groups. */
   readonly engine?: EngineSpec;
 }
 
-/** Bounds on what a caller may send and how long it may stay idle. */
+/** Limits on a caller's requests and connections. */
 export interface CallerLimits {
   readonly maxHeaderBytes: number;
   readonly maxBodyBytes: number;
@@ -102,14 +107,15 @@
   readonly idleTimeoutMs: number;
 }
 
+/** An organisation, the tenant that calls are made for. */
 export interface GatewayOrganisation {
   readonly name: OrganisationId;
   readonly apiKeys: readonly string[];
-  /** Goes before the priority of the route. */
+  /** Overrides the priority of the route. */
   readonly priority?: number;
 }
 
-/** The whole configuration of the gateway; newer versions have greater numbers. */
+/** The complete configuration of the gateway; newer versions have greater numbers. */
 export interface GatewayConfig {
   readonly version: ConfigVersion;
   readonly routes: readonly Route[];
@@ -121,7 +127,7 @@
 /** State of a group as one of its members reports it. */
 export type MemberState = 'joining' | 'ready' | 'open' | 'closing' | 'broken';
 
-/** A member's place in a replica group. Rank 0 is the head, which takes the requests. */
+/** A server's membership in a replica group. Rank 0 is the head, which receives the requests. */
 export interface Membership {
   readonly group: GroupId;
   readonly epoch: Epoch;
@@ -129,30 +135,30 @@
   readonly state: MemberState;
 }
 
-/** A backend server as it registered itself. */
+/** A backend server's own registration. */
 export interface BackendServer {
   /**
-   * One life of the server: all that is believed of it is kept by this id, and so ends with the life.
-   * A server that starts again may have the same name.
+   * Identifies one process of the server. All state about it is kept under this id, and so ends with the
+   * process. A restarted server may have the same name.
    */
   readonly id: InstanceId;
-  /** Under which the server registered itself. */
+  /** Name under which the server registered. */
   readonly name: ServerName;
-  /** When this life began, by the server's clock; undefined where it does not tell. */
+  /** When this process started, by the server's clock; absent if it doesn't report it. */
   readonly startedAt?: EpochTime;
-  /** Grows with what the server writes of itself in one life. */
+  /** Increases with each report that this process writes. */
   readonly reportNumber?: number;
   readonly service: ServiceId;
-  /** `host:port`; given to other servers after this one has ended. */
+  /** `host:port`; may be reassigned to another server once this one has ended. */
   readonly address: string;
   readonly zone: ZoneId;
   readonly isDraining: boolean;
-  /** Requests it runs at a time. */
+  /** Requests that it runs concurrently. */
   readonly batchSize: number;
   readonly domain?: DomainId;
-  /** Models whose weights lie on the host. */
+  /** Models whose weights are staged on the host. */
   readonly staged: readonly ModelId[];
-  /** The model it serves or served last. */
+  /** The model that it serves or served last. */
   readonly model?: ModelId;
   readonly membership?: Membership;
 }
--- a/src/core/gateway/waiting-order.ts
+++ b/src/core/gateway/waiting-order.ts
@@ -1,49 +1,50 @@
 /**
- * The order in which waiting requests get places in groups.
+ * The order in which waiting requests get slots in groups.
  *
- * Load pattern: groups are lost or a burst comes, and requests of one model wait that hold a place for
- * very different times: a draft of 30 events for two seconds, a summary of four for a third of one.
- * Served in order of arrival, a few long ones make many short ones late. So among requests of the same
- * urgency those that can still be on time go first, and among these a shorter one goes before a longer
- * one that came a little earlier. Late ones come last, in order of arrival: waiting longer costs them
- * little and others much.
+ * Load pattern: groups are lost or a burst arrives, and the waiting requests of a model hold a slot for very
+ * different times: a draft of 30 events for two seconds, a summary of four for a third of a second. Served
+ * in order of arrival, a few long ones make many short ones late. So among requests of the same priority
+ * those that can still be on time go first, and among these a shorter one goes before a longer one that
+ * arrived slightly earlier. Late ones go last, in order of arrival: a longer wait costs them little, while
+ * it would make others late.
  */
 
 import type { MonoTime } from '../ids';
 
+/** A request that waits for a slot. */
 export interface WaitingRequest {
   /** 0 is the most urgent. */
   readonly priority: number;
   readonly arrivedAt: MonoTime;
-  /** The latency objective is missed where it has no place by then. */
+  /** It misses its latency objective if it gets no slot by then. */
   readonly onTimeUntil: MonoTime;
-  /** How long requests of its kind hold a place, milliseconds. */
+  /** Mean time that requests of its kind hold a slot, milliseconds. */
   readonly holdMs: number;
 }
 
 /**
- * A request may be overtaken by those that came up to this part of the difference in holding times
- * later: a second more costs 100 ms of waiting, a fraction of the usual latency objective. More would
- * make long requests late without helping the short ones.
+ * Part of the holding time that is added to the arrival time: a request that holds its slot a second longer
+ * may be overtaken by one that arrived up to 100 ms later, a fraction of the usual latency objective. More
+ * would make long requests late without helping the short ones.
  */
 const HOLD_WEIGHT = 0.1;
 
-/** Weight of the latest request in a kind's mean holding time. */
+/** Weight of the latest sample in a mean holding time. */
 const HOLD_SMOOTHING = 0.1;
 
-function turnOf({ arrivedAt, holdMs }: WaitingRequest): number {
+function sortKeyOf({ arrivedAt, holdMs }: WaitingRequest): number {
   return arrivedAt + HOLD_WEIGHT * holdMs;
 }
 
-/** Negative where `a` goes first. */
+/** Comparison function for sorting: negative if `a` goes first. */
 export function compareWaiting(a: WaitingRequest, b: WaitingRequest, now: MonoTime): number {
   const isLate = [a, b].map(({ onTimeUntil }) => Number(now >= onTimeUntil)) as [number, number];
-  const urgency = a.priority - b.priority || isLate[0] - isLate[1];
-  if (urgency !== 0) return urgency;
-  return isLate[0] === 1 ? a.arrivedAt - b.arrivedAt : turnOf(a) - turnOf(b);
+  const order = a.priority - b.priority || isLate[0] - isLate[1];
+  if (order !== 0) return order;
+  return isLate[0] === 1 ? a.arrivedAt - b.arrivedAt : sortKeyOf(a) - sortKeyOf(b);
 }
 
-/** The mean holding time of a kind once one more request has ended. */
+/** The mean holding time with one more sample; the first sample sets it. */
 export function smoothHoldMs(mean: number | undefined, holdMs: number): number {
   return mean === undefined ? holdMs : mean + HOLD_SMOOTHING * (holdMs - mean);
 }
--- a/src/core/gateway/work.ts
+++ b/src/core/gateway/work.ts
@@ -1,39 +1,42 @@
-/** The places of each model's groups, and the requests that are in them or wait for one. */
+/** Summarizes the load of each model's groups, and the states of each service's servers, for logs and reports. */
 
 import type { ModelId, ServiceId } from '../ids';
 import { isStandby } from './forming/start';
 import type { BackendServer } from './types';
 
-/** One open group, as its load is known. */
+/** The known load of one open group. */
 export interface GroupLoad {
   readonly model: ModelId;
-  /** Requests of all daemons in it. */
+  /** Requests in it, from all daemons. */
   readonly running: number;
   readonly batchSize: number;
-  /** Whether nothing is sent to it for a while. */
+  /** Whether it is suspected, so that no requests are sent to it for a while. */
   readonly isSuspect: boolean;
 }
 
+/** Requests that wait in daemons for a slot of a model. */
 export interface WaitingLoad {
   readonly model: ModelId;
+  /** Number of daemons with waiting requests. */
   readonly daemons: number;
   readonly requests: number;
 }
 
+/** Load of a model's groups. */
 export interface ModelWork {
   readonly model: ModelId;
   readonly groups: number;
-  /** Groups of these that nothing is sent to. */
+  /** Number of these groups that are suspected. */
   readonly suspects: number;
-  /** Requests that the groups run at a time. */
+  /** Slots of all groups. */
   readonly places: number;
-  /** Requests that run. */
+  /** Requests that hold a slot. */
   readonly running: number;
-  /** Requests beyond the places of their group: they wait in its engine. */
+  /** Requests beyond their group's slots, which queue in its engine. */
   readonly queued: number;
-  /** Places without a request, in groups that are not suspected. */
+  /** Free slots, in groups that aren't suspected. */
   readonly free: number;
-  /** Daemons with requests that wait for a place, and these requests. */
+  /** Daemons with requests that wait for a slot, and the number of these requests. */
   readonly waitingDaemons: number;
   readonly waiting: number;
 }
@@ -65,7 +68,7 @@
   };
 }
 
-/** Sums by model; a model without groups is among them where requests wait for it. */
+/** Sums up by model, including models without groups that have waiting requests. */
 export function summarizeWork(
   groups: readonly GroupLoad[],
   waiting: readonly WaitingLoad[],
@@ -81,25 +84,27 @@
   return [...works.values()];
 }
 
-/** What the backend servers of a service are at. */
+/** Numbers of a service's backend servers by state. */
 export interface ServerWork {
   readonly service: ServiceId;
+  /** All servers. */
   readonly servers: number;
+  /** Draining servers. */
   readonly leaving: number;
-  /** Members of groups that serve, as they report it; the heads alone say so of the whole group. */
+  /** Members that report ready or open; only a head's state says whether its group serves. */
   readonly ready: number;
   readonly joining: number;
-  /** Kept warm to replace members. */
+  /** Warm spares. */
   readonly standby: number;
-  /** Members of groups that end or are broken. */
+  /** Members of closing or broken groups. */
   readonly ending: number;
-  /** In no group. */
+  /** Servers in no group. */
   readonly idle: number;
 }
 
-type Occupation = Exclude<keyof ServerWork, 'service' | 'servers'>;
+type ServerState = Exclude<keyof ServerWork, 'service' | 'servers'>;
 
-function occupationOf({ isDraining, membership }: BackendServer): Occupation {
+function serverStateOf({ isDraining, membership }: BackendServer): ServerState {
   if (isDraining) return 'leaving';
   if (!membership) return 'idle';
   if (membership.state === 'joining') return 'joining';
@@ -107,7 +112,7 @@
   return membership.state === 'ready' || membership.state === 'open' ? 'ready' : 'ending';
 }
 
-/** Counts by service, of services whose servers form groups. */
+/** Counts servers by service and state, for services whose servers form groups. */
 export function summarizeServers(servers: Iterable<BackendServer>): readonly ServerWork[] {
   const works = new Map<ServiceId, ServerWork>();
   for (const server of servers) {
@@ -117,11 +122,11 @@
       ...{ service, servers: 0, leaving: 0, ready: 0 },
       ...{ joining: 0, standby: 0, ending: 0, idle: 0 },
     };
-    const occupation = occupationOf(server);
+    const state = serverStateOf(server);
     works.set(service, {
       ...work,
       servers: work.servers + 1,
-      [occupation]: work[occupation] + 1,
+      [state]: work[state] + 1,
     });
   }
   return [...works.values()];
