--- a/src/core/gateway/forming/state.ts
+++ b/src/core/gateway/forming/state.ts
@@ -230,6 +230,7 @@
   readonly effects: OrderEffect[];
 }
 
+/** A draft to plan on. */
 export function draftOf(state: FormingState, view: FormingView, now: MonoTime): Draft {
   return {
     settings: state.settings,
@@ -250,6 +251,7 @@
   };
 }
 
+/** The new state from a finished draft. */
 export function stateOf(draft: Draft): FormingState {
   const { settings, formations, retirements, dissolved, foreignGroups } = draft;
   const {
@@ -309,6 +311,7 @@
   return `${order.kind}${mode} ${subject} ${server.id}`;
 }
 
+/** When the order may be sent again. */
 function resendAt({ settings }: Draft, { at, sends }: SentOrder): MonoTime {
   const { resendMs, maxResendMs, fastResends } = settings;
   const doublings = Math.max(0, sends - fastResends);
--- a/tests/gateway/choice.test.ts
+++ b/tests/gateway/choice.test.ts
@@ -12,7 +12,7 @@
 import type { ZoneId } from '../../src/core/ids';
 import { instance } from './support';
 
-const DRAWN = 1_000;
+const SAMPLES = 1_000;
 const [HERE, THERE] = [brandAs<ZoneId>('a'), brandAs<ZoneId>('b')];
 
 function group(id: string, more: Partial<GroupCandidate> = {}): GroupCandidate {
@@ -44,8 +44,8 @@
   };
 }
 
-describe('the group of a stream', () => {
-  it('is the least filled one', () => {
+describe('the group chosen for a stream', () => {
+  it('is the least loaded one', () => {
     const found = chooseGroup(
       [group('1', { running: 4 }), group('2', { running: 2 })],
       1_000,
@@ -55,79 +55,81 @@
     expect(found?.head).toBe('2');
   });
 
-  it('is in the own zone where loads are alike, elsewhere where they are not', () => {
-    const near = group('1', { running: 2 });
-    expect(chooseGroup([group('2', { running: 2, zone: THERE }), near], 1_000, HERE, 0)).toBe(near);
-    expect(chooseGroup([group('2', { zone: THERE }), near], 1_000, HERE, 0)?.head).toBe('2');
+  it('is in the own zone if loads are equal, in another if they are not', () => {
+    const local = group('1', { running: 2 });
+    expect(chooseGroup([group('2', { running: 2, zone: THERE }), local], 1_000, HERE, 0)).toBe(
+      local,
+    );
+    expect(chooseGroup([group('2', { zone: THERE }), local], 1_000, HERE, 0)?.head).toBe('2');
   });
 
-  it('is in the own zone up to a moderate difference of loads: bytes between zones are paid for', () => {
-    const near = group('1', { running: 3 });
-    const far = group('2', { running: 2, zone: THERE });
-    expect(chooseGroup([far, near], 1_000, HERE, 0)).toBe(near);
-    expect(chooseGroup([{ ...far, running: 1 }, near], 1_000, HERE, 0)?.head).toBe('2');
+  it('is in the own zone up to a moderate difference of loads, as traffic between zones is charged', () => {
+    const local = group('1', { running: 3 });
+    const remote = group('2', { running: 2, zone: THERE });
+    expect(chooseGroup([remote, local], 1_000, HERE, 0)).toBe(local);
+    expect(chooseGroup([{ ...remote, running: 1 }, local], 1_000, HERE, 0)?.head).toBe('2');
   });
 
-  it('is not a slow one with the same load', () => {
+  it('is not a slow one, even if less loaded', () => {
     const slow = group('1', { running: 1, slowdown: 4 });
     expect(chooseGroup([slow, group('2', { running: 3 })], 1_000, HERE, 0)?.head).toBe('2');
   });
 
-  it('is a slow one, however empty, only where no quick one has room', () => {
+  it('is a slow one, however empty, only if no fast one has free capacity', () => {
     const slow = group('1', { slowdown: 3 });
     expect(chooseGroup([slow, group('2', { running: 9 })], 1_000, HERE, 0)?.head).toBe('2');
     const full = group('2', { running: 10, freeCapacity: 0 });
     expect(chooseGroup([slow, full], 1_000, HERE, 0)).toBe(slow);
   });
 
-  it('is not one whose streams would pause too long for the prompt to be read', () => {
-    const reading = group('1', { running: 1, pendingPrefill: 4_500 });
-    expect(chooseGroup([reading, group('2', { running: 8 })], 1_000, HERE, 0)?.head).toBe('2');
-    expect(chooseGroup([reading], 1_000, HERE, 0)).toBeUndefined();
-    expect(chooseGroup([reading], 400, HERE, 0)).toBe(reading);
+  it('is not one whose streams would pause too long for the prefill of the prompt', () => {
+    const prefilling = group('1', { running: 1, pendingPrefill: 4_500 });
+    expect(chooseGroup([prefilling, group('2', { running: 8 })], 1_000, HERE, 0)?.head).toBe('2');
+    expect(chooseGroup([prefilling], 1_000, HERE, 0)).toBeUndefined();
+    expect(chooseGroup([prefilling], 400, HERE, 0)).toBe(prefilling);
   });
 
-  it('is none that has no room or was tried', () => {
+  it('is never one that is full or was already tried', () => {
     const candidates = [group('1', { freeCapacity: 0 }), group('2', { isTried: true })];
     expect(chooseGroup(candidates, 1_000, HERE, 0)).toBeUndefined();
   });
 });
 
-describe('the group that one of many daemons draws', () => {
-  const drawMany = (candidates: readonly GroupCandidate[]): ReadonlyMap<string, number> => {
+describe('the weighted random choice of a group', () => {
+  const countPicks = (candidates: readonly GroupCandidate[]): ReadonlyMap<string, number> => {
     const random = createRandom(5);
     const counts = new Map<string, number>();
-    for (let n = 0; n < DRAWN; n++) {
+    for (let n = 0; n < SAMPLES; n++) {
       const head = pickWeightedGroup(candidates, HERE, () => random.next())?.head ?? 'none';
       counts.set(head, (counts.get(head) ?? 0) + 1);
     }
     return counts;
   };
 
-  it('is each one as often as it has room: all see the same loads until they hear again', () => {
-    const counts = drawMany([group('1', { freeCapacity: 9 }), group('2', { freeCapacity: 3 })]);
-    expect(counts.get('1')).toBeGreaterThan(0.7 * DRAWN);
-    expect(counts.get('2')).toBeGreaterThan(0.2 * DRAWN);
+  it('is in proportion to free capacity, since all daemons see the same loads until the next update', () => {
+    const counts = countPicks([group('1', { freeCapacity: 9 }), group('2', { freeCapacity: 3 })]);
+    expect(counts.get('1')).toBeGreaterThan(0.7 * SAMPLES);
+    expect(counts.get('2')).toBeGreaterThan(0.2 * SAMPLES);
   });
 
-  it('is mostly one in the own zone, and another where there is no room in it', () => {
-    const near = group('1', { freeCapacity: 5 });
-    const far = group('2', { freeCapacity: 5, zone: THERE });
-    expect(drawMany([near, far]).get('1')).toBeGreaterThan(0.8 * DRAWN);
-    expect(drawMany([{ ...near, freeCapacity: 0 }, far]).get('2')).toBe(DRAWN);
+  it('is mostly in the own zone, and in another if that one is full', () => {
+    const local = group('1', { freeCapacity: 5 });
+    const remote = group('2', { freeCapacity: 5, zone: THERE });
+    expect(countPicks([local, remote]).get('1')).toBeGreaterThan(0.8 * SAMPLES);
+    expect(countPicks([{ ...local, freeCapacity: 0 }, remote]).get('2')).toBe(SAMPLES);
   });
 
-  it('is hardly ever a slow one while a quick one has room', () => {
-    const counts = drawMany([group('1', { slowdown: 4 }), group('2', { freeCapacity: 2 })]);
-    expect(counts.get('1') ?? 0).toBeLessThan(0.1 * DRAWN);
+  it('is hardly ever a slow one while a fast one has free capacity', () => {
+    const counts = countPicks([group('1', { slowdown: 4 }), group('2', { freeCapacity: 2 })]);
+    expect(counts.get('1') ?? 0).toBeLessThan(0.1 * SAMPLES);
   });
 
-  it('is none where there is none', () => {
+  it('is undefined without candidates', () => {
     expect(pickWeightedGroup([], HERE, () => 0.5)).toBeUndefined();
   });
 });
 
-describe('the server of a plain call', () => {
+describe('the server chosen for a plain call', () => {
   it('is not one that fails while others do not', () => {
     const failing = plain('1', { failures: 0.4 });
     expect(choosePlain([failing, plain('2', { running: 2 })], HERE, 0)?.id).toBe('2');
@@ -138,13 +140,13 @@
     expect(choosePlain([slow, plain('2', { running: 3 })], HERE, 0)?.id).toBe('2');
   });
 
-  it('is none where all were tried', () => {
+  it('is undefined if all were tried', () => {
     expect(choosePlain([plain('1', { isTried: true })], HERE, 0.5)).toBeUndefined();
   });
 });
 
-describe('the groups that a request may be sent to', () => {
-  const granted = (places: Readonly<Record<string, number>>) => (head: string) => places[head] ?? 0;
+describe('the groups eligible for a request', () => {
+  const granted = (slots: Readonly<Record<string, number>>) => (head: string) => slots[head] ?? 0;
   const heads = (groups: readonly GroupCandidate[]) => groups.map(({ head }) => head);
   const all = [
     group('1'),
@@ -153,16 +155,16 @@
     group('4', { freeCapacity: 0 }),
   ];
 
-  it('are those in which this daemon has places to itself', () => {
+  it('are those in which this daemon was granted slots', () => {
     expect(heads(listEligible(all, granted({ '2': 1, '4': 2 }), 100))).toEqual(['2', '4']);
   });
 
-  it('are all that have room where it has none, or has them in slow groups alone', () => {
+  it('are all with free capacity if it was granted none, or only in slow groups', () => {
     expect(heads(listEligible(all, granted({}), 100))).toEqual(['1', '2', '3']);
     expect(heads(listEligible(all, granted({ '3': 5 }), 100))).toEqual(['1', '2', '3']);
   });
 
-  it('are not those that were tried, or that have too much to read', () => {
+  it('are not those that were tried or have too much pending prefill', () => {
     const some = [
       group('1', { isTried: true }),
       group('2', { pendingPrefill: 4_950 }),
--- a/tests/gateway/events.test.ts
+++ b/tests/gateway/events.test.ts
@@ -18,24 +18,24 @@
 }
 
 describe('an event stream', () => {
-  it('is passed on by whole events alone', () => {
-    const seen = read(['id: 1\ndata: a\n', '\nid: 2\ndata: b']);
-    expect(seen.texts).toEqual(['id: 1\ndata: a\n\n']);
-    expect(seen.ids).toEqual([1]);
-    expect(seen.rest).toBe(true);
+  it('is split into complete events', () => {
+    const parsed = read(['id: 1\ndata: a\n', '\nid: 2\ndata: b']);
+    expect(parsed.texts).toEqual(['id: 1\ndata: a\n\n']);
+    expect(parsed.ids).toEqual([1]);
+    expect(parsed.rest).toBe(true);
   });
 
-  it('may end its lines with carriage returns and begin an event with another field', () => {
-    const seen = read(['x-version: 3\r\nid:7\r\ndata: a\r\n\r\n']);
-    expect(seen.ids).toEqual([7]);
-    expect(seen.rest).toBe(false);
+  it('may use CRLF line ends and start an event with another field', () => {
+    const parsed = read(['x-version: 3\r\nid:7\r\ndata: a\r\n\r\n']);
+    expect(parsed.ids).toEqual([7]);
+    expect(parsed.rest).toBe(false);
   });
 
-  it('may hold events without an id, or with one that is no number', () => {
+  it('may contain events without an id, or with one that is not a number', () => {
     expect(read(['data: a\n\nid: x\ndata: b\n\n']).ids).toEqual([undefined, undefined]);
   });
 
-  it('gives the same events however its bytes are cut', () => {
+  it('yields the same events however its bytes are split into chunks', () => {
     const text = 'id: 1\ndata: a\n\nid: 2\ndata: bb\n\nid: 3\ndata: c\n\n';
     fc.assert(
       fc.property(
@@ -43,9 +43,9 @@
         (cuts) => {
           const edges = [0, ...[...new Set(cuts)].sort((a, b) => a - b), text.length];
           const chunks = edges.slice(1).map((end, i) => text.slice(edges[i], end));
-          const seen = read(chunks);
-          expect(seen.ids).toEqual([1, 2, 3]);
-          expect(seen.texts.join('')).toBe(text);
+          const parsed = read(chunks);
+          expect(parsed.ids).toEqual([1, 2, 3]);
+          expect(parsed.texts.join('')).toBe(text);
         },
       ),
       { seed: 7, numRuns: 200 },
--- a/tests/gateway/forming-fuzz.test.ts
+++ b/tests/gateway/forming-fuzz.test.ts
@@ -10,14 +10,14 @@
 
 type Leader = ReturnType<typeof createLeader>;
 
-interface Trouble {
+interface Fault {
   readonly kind:
     'kill' | 'restart' | 'cut' | 'heal' | 'drain' | 'late' | 'in-time' | 'leader' | 'add';
   readonly which: number;
   readonly afterMs: number;
 }
 
-const TROUBLES = [
+const FAULT_KINDS = [
   'kill',
   'cut',
   'heal',
@@ -29,8 +29,8 @@
   'restart',
 ] as const;
 
-const trouble: fc.Arbitrary<Trouble> = fc.record({
-  kind: fc.constantFrom(...TROUBLES),
+const fault: fc.Arbitrary<Fault> = fc.record({
+  kind: fc.constantFrom(...FAULT_KINDS),
   which: fc.nat(40),
   afterMs: fc.integer({ min: 50, max: 3_000 }),
 });
@@ -41,7 +41,7 @@
 }
 
 const APPLY: Readonly<
-  Record<Trouble['kind'], (fleet: EngineFleet, leader: Leader, which: number) => void>
+  Record<Fault['kind'], (fleet: EngineFleet, leader: Leader, which: number) => void>
 > = {
   kill: (fleet, _, which) => {
     fleet.kill(pick(fleet, which));
@@ -72,18 +72,18 @@
   },
 };
 
-/** Each run leaves the event loop a turn: the test runner gives up on a worker that stays silent. */
-describe('groups under any series of troubles', () => {
-  it('never serve in part, and no server is in two of them', async () => {
+// Each run yields to the event loop, since the test runner aborts a worker that does not respond.
+describe('groups under any series of faults', () => {
+  it('never serve while incomplete, and share no server', async () => {
     await fc.assert(
-      fc.asyncProperty(fc.array(trouble, { maxLength: 25 }), fc.nat(), async (troubles, salt) => {
+      fc.asyncProperty(fc.array(fault, { maxLength: 25 }), fc.nat(), async (faults, salt) => {
         await setImmediate();
         const fleet = createEngineFleet({ ...FLEET, domains: [11, 11], hasTraffic: true });
         const lateMs = (n: number): number =>
           (n * 7919 + salt) % 2 === 0 ? 2_000 + ((n * 613) % 10_000) : 0;
         const leader = createLeader(fleet, { hasTraffic: true, lateMs });
         leader.run(40_000);
-        for (const { kind, which, afterMs } of troubles) {
+        for (const { kind, which, afterMs } of faults) {
           APPLY[kind](fleet, leader, which);
           leader.run(afterMs);
         }
@@ -93,17 +93,17 @@
     );
   });
 
-  it('never serve in part, also where models take groups from each other', async () => {
+  it('never serve while incomplete, even when models take groups from each other', async () => {
     const work = fc.record({
       large: fc.double({ min: 0, max: 4, noNaN: true }),
       small: fc.double({ min: 0, max: 4, noNaN: true }),
     });
     await fc.assert(
       fc.asyncProperty(
-        fc.array(trouble, { maxLength: 25 }),
+        fc.array(fault, { maxLength: 25 }),
         fc.nat(),
         work,
-        async (troubles, salt, { large, small }) => {
+        async (faults, salt, { large, small }) => {
           await setImmediate();
           const fleet = createEngineFleet({ ...FLEET, domains: [11, 13], hasTraffic: true });
           const lateMs = (n: number): number =>
@@ -114,7 +114,7 @@
           ]);
           const leader = createLeader(fleet, { hasTraffic: true, lateMs, demand });
           leader.run(40_000);
-          for (const { kind, which, afterMs } of troubles) {
+          for (const { kind, which, afterMs } of faults) {
             APPLY[kind](fleet, leader, which);
             leader.run(afterMs);
           }
@@ -125,14 +125,14 @@
     );
   });
 
-  it('serve again once the troubles are over and servers enough are left', async () => {
+  it('serve again once the faults are over and enough servers remain', async () => {
     await fc.assert(
-      fc.asyncProperty(fc.array(trouble, { maxLength: 8 }), async (troubles) => {
+      fc.asyncProperty(fc.array(fault, { maxLength: 8 }), async (faults) => {
         await setImmediate();
         const fleet = createEngineFleet({ ...FLEET, domains: [14], hasTraffic: true });
         const leader = createLeader(fleet, { hasTraffic: true });
         leader.run(40_000);
-        for (const { kind, which, afterMs } of troubles) {
+        for (const { kind, which, afterMs } of faults) {
           if (kind === 'kill' || kind === 'leader') APPLY[kind](fleet, leader, which % 3);
           leader.run(afterMs);
         }
--- a/tests/gateway/forming-large.test.ts
+++ b/tests/gateway/forming-large.test.ts
@@ -6,7 +6,7 @@
 import { createLeader } from './leader';
 import { ENGINE, FLEET, LARGE, SMALL } from './support';
 
-/** A large model of 16 servers and a small one of four, as in the largest fleets. */
+/** Groups of 16 servers for the large model and of four for the small one, as in the largest fleets. */
 const LARGE_ENGINE: EngineSpec = {
   ...ENGINE,
   batchSize: 9,
@@ -19,18 +19,18 @@
   ],
 };
 const DOMAINS = Array.from({ length: 25 }, () => 35);
-/** Groups that the work of each model keeps busy: a little over half of what the servers could form. */
-const WORK = new Map([
+/** Offered load in groups: slightly over half of the groups that the servers could form. */
+const OFFERED_LOAD = new Map([
   [LARGE, 13],
   [SMALL, 60],
 ]);
 
-describe('875 servers of which six or seven are lost every three seconds', () => {
+describe('875 servers, six or seven of which are lost every three seconds', () => {
   it.each([
     { orders: 'all orders answered', lateShare: 0 },
     { orders: 'a third of the orders late', lateShare: 0.35 },
   ])(
-    'serve the work of both models throughout: $orders',
+    'always have enough open groups for the load of both models: $orders',
     ({ lateShare }) => {
       const random = createRandom(5);
       const engine = LARGE_ENGINE;
@@ -38,14 +38,14 @@
       const lateMs = (): number => (random.next() < lateShare ? 2_000 + 10_000 * random.next() : 0);
       const leader = createLeader(fleet, {
         engine,
-        demand: WORK,
+        demand: OFFERED_LOAD,
         ...(lateShare > 0 && { lateMs }),
       });
       leader.run(16_000);
       leader.beginTraffic();
       fleet.beginTraffic();
       fleet.setLate(lateShare > 0);
-      const least = { large: Infinity, small: Infinity };
+      const minServing = { large: Infinity, small: Infinity };
       for (let second = 0; second < 30; second++) {
         const joined = [...fleet.servers.values()].filter(
           ({ isAlive, joined: membership }) => isAlive && (membership?.members.length ?? 0) > 1,
@@ -56,17 +56,17 @@
         }
         if (second % 3 === 1) for (let n = 0; n < 6; n++) fleet.add(`d${n * 4}`);
         leader.run(1_000);
-        least.large = Math.min(least.large, fleet.serving(LARGE));
-        least.small = Math.min(least.small, fleet.serving(SMALL));
+        minServing.large = Math.min(minServing.large, fleet.serving(LARGE));
+        minServing.small = Math.min(minServing.small, fleet.serving(SMALL));
       }
-      expect(least.large).toBeGreaterThanOrEqual(WORK.get(LARGE) ?? 0);
-      expect(least.small).toBeGreaterThanOrEqual(WORK.get(SMALL) ?? 0);
+      expect(minServing.large).toBeGreaterThanOrEqual(OFFERED_LOAD.get(LARGE) ?? 0);
+      expect(minServing.small).toBeGreaterThanOrEqual(OFFERED_LOAD.get(SMALL) ?? 0);
       expect(fleet.violations).toEqual([]);
     },
     60_000,
   );
 
-  it('are asked ever more seldom where they give no sign', () => {
+  it('are sent orders less and less often while they do not respond', () => {
     const engine = LARGE_ENGINE;
     const fleet = createEngineFleet({ ...FLEET, engine, domains: [35, 35], hasTraffic: false });
     const leader = createLeader(fleet, { engine });
@@ -79,7 +79,7 @@
     }
     const before = leader.orders();
     leader.run(6_000);
-    // Sent again every 200 ms to each head that does not answer, there would be thirty of each.
+    // Resent every 200 ms, there would be thirty orders to each head that does not answer.
     expect(leader.orders() - before).toBeLessThan(heads.length * 20);
     expect(fleet.violations).toEqual([]);
   });
--- a/tests/gateway/forming.test.ts
+++ b/tests/gateway/forming.test.ts
@@ -11,25 +11,25 @@
     ({ joined, id }) =>
       joined?.state === 'open' && joined.model === model && joined.members[0] === id,
   );
-  if (!found) throw new Error(`no group of ${model} serves`);
+  if (!found) throw new Error(`no open group serves model ${model}`);
   return found;
 }
 
 describe('groups of a domain', () => {
-  it('are formed of all models, with spares left over', () => {
+  it('are formed for all models, with spares remaining', () => {
     const fleet = createEngineFleet({ ...FLEET, domains: [11], hasTraffic: false });
     createLeader(fleet).run(8_000);
     expect([fleet.serving(LARGE), fleet.serving(SMALL)]).toEqual([1, 1]);
     expect(fleet.violations).toEqual([]);
   });
 
-  it('share the models evenly over domains', () => {
+  it('are spread evenly over domains for each model', () => {
     const fleet = createEngineFleet({ ...FLEET, domains: [11, 11, 11], hasTraffic: false });
     createLeader(fleet).run(15_000);
     expect([fleet.serving(LARGE), fleet.serving(SMALL)]).toEqual([3, 3]);
   });
 
-  it('wait for further servers before they take a model that lacks groups less', () => {
+  it('are not formed for a less needy model while servers may still join', () => {
     const fleet = createEngineFleet({ ...FLEET, domains: [3], hasTraffic: false });
     const leader = createLeader(fleet);
     leader.run(500);
@@ -56,7 +56,7 @@
     expect(fleet.violations).toEqual([]);
   });
 
-  it('that is the head frees the others only once it must be broken', () => {
+  it('whose head is unreachable leaves the other members bound until the head must have broken', () => {
     const fleet = createEngineFleet({ ...FLEET, domains: [11], hasTraffic: false });
     const leader = createLeader(fleet);
     leader.run(15_000);
@@ -71,8 +71,8 @@
   });
 });
 
-describe('a server that starts again under its name', () => {
-  it.each([LARGE, SMALL])('is no member of its group of %s any more', (model) => {
+describe('a server that restarts under its name', () => {
+  it.each([LARGE, SMALL])('is no longer a member of its group of %s', (model) => {
     const fleet = createEngineFleet({ ...FLEET, domains: [11], hasTraffic: false });
     const leader = createLeader(fleet);
     leader.run(15_000);
@@ -82,7 +82,7 @@
     expect(fleet.violations).toEqual([]);
   });
 
-  it('as the head of a group sets the members free at once', () => {
+  it('releases the other members at once if it was the head', () => {
     const fleet = createEngineFleet({ ...FLEET, domains: [11], hasTraffic: false });
     const leader = createLeader(fleet);
     leader.run(15_000);
@@ -94,7 +94,7 @@
 });
 
 describe('a spare', () => {
-  it('stays warm for its model when another one is lost', () => {
+  it('stays warm for its model when another spare is lost', () => {
     const fleet = createEngineFleet({ ...FLEET, domains: [11], hasTraffic: true });
     const leader = createLeader(fleet, { hasTraffic: true });
     leader.run(90_000);
@@ -108,8 +108,8 @@
   });
 });
 
-describe('a server that comes while a group of its domain is ending', () => {
-  it('is loaded at once, though the members of a lost head are held for seconds', () => {
+describe('a server that joins a domain while a group there is ending', () => {
+  it('starts to load at once, though the members of a lost head stay bound for seconds', () => {
     const fleet = createEngineFleet({ ...FLEET, domains: [11], hasTraffic: false });
     const leader = createLeader(fleet);
     leader.run(15_000);
@@ -126,7 +126,7 @@
 });
 
 describe('a new leader', () => {
-  it('adopts the groups that serve, without an order to them', () => {
+  it('adopts the groups that serve, without sending them orders', () => {
     const fleet = createEngineFleet({ ...FLEET, domains: [9], hasTraffic: false });
     const leader = createLeader(fleet);
     leader.run(10_000);
@@ -137,7 +137,7 @@
     expect(leader.orders()).toBe(orders);
   });
 
-  it('opens a group that its predecessor left whole', () => {
+  it('opens a complete group that its predecessor had not opened', () => {
     const fleet = createEngineFleet({ ...FLEET, domains: [6], hasTraffic: false });
     const leader = createLeader(fleet);
     leader.run(1_750);
@@ -149,8 +149,8 @@
   });
 });
 
-describe('a member that leaves by plan', () => {
-  it('is replaced after the requests in flight', () => {
+describe('a member that drains', () => {
+  it('is replaced once the requests in flight have finished', () => {
     const fleet = createEngineFleet({ ...FLEET, domains: [11], hasTraffic: false });
     const leader = createLeader(fleet);
     leader.run(15_000);
@@ -162,7 +162,7 @@
 });
 
 describe('a model without enough groups', () => {
-  it('is formed again with the servers kept for losses, before others are loaded anew', () => {
+  it('gets its group back from the reserve rather than by loading other servers', () => {
     const fleet = createEngineFleet({ ...FLEET, domains: [26], hasTraffic: true });
     const demand = new Map([
       [LARGE, 2],
@@ -180,7 +180,7 @@
     expect(fleet.violations).toEqual([]);
   });
 
-  it('has its published part of the work where nothing shows that it is asked for', () => {
+  it('is assumed to have its published share of the load while it has no known requests', () => {
     const fleet = createEngineFleet({ ...FLEET, domains: [11], hasTraffic: true });
     const demand = new Map([[SMALL, 0.5]]);
     createLeader(fleet, { hasTraffic: true, demand }).run(60_000);
@@ -202,7 +202,7 @@
     return { fleet, leader };
   }
 
-  it('gets the servers of a group of another model, where what is free does not suffice', () => {
+  it("gets the servers of another model's group if the free ones do not suffice", () => {
     const { fleet, leader } = startServing([12]);
     const members = headOf(fleet, LARGE).joined?.members ?? [];
     for (const id of members.slice(1, 4)) fleet.kill(id);
@@ -212,7 +212,7 @@
     expect(fleet.violations).toEqual([]);
   });
 
-  it('takes none from a model that would then have none', () => {
+  it('takes no group from a model that would then have none', () => {
     const { fleet, leader } = startServing([10]);
     const members = headOf(fleet, LARGE).joined?.members ?? [];
     for (const id of members.slice(1, 3)) fleet.kill(id);
@@ -221,7 +221,7 @@
     expect(fleet.violations).toEqual([]);
   });
 
-  it('takes none where the servers kept for losses suffice', () => {
+  it('takes no group if the reserve suffices', () => {
     const { fleet, leader } = startServing([13]);
     const before = fleet.serving(SMALL);
     const members = headOf(fleet, LARGE).joined?.members ?? [];
@@ -234,7 +234,7 @@
 });
 
 describe('a model whose groups are nearly full', () => {
-  it('is given back its group without a load, by a model with groups to spare', () => {
+  it('gets its group back without a weight load from a model with a group to spare', () => {
     const fleet = createEngineFleet({ ...FLEET, domains: [12], hasTraffic: false });
     const demand = new Map([
       [LARGE, 0.85],
@@ -254,7 +254,7 @@
 });
 
 describe('members lost every few seconds, and as many servers added', () => {
-  it('leave the large model the groups that its work fills', () => {
+  it('leave the large model the groups that its load fills', () => {
     const runs = [1, 2, 3, 4].map((seed) => runLosses({ seed }));
     expect(runs.flatMap(({ violations }) => violations)).toEqual([]);
     const served = runs.reduce((sum, { largeServed }) => sum + largeServed, 0) / runs.length;
@@ -262,15 +262,15 @@
   });
 });
 
-describe('a third of the orders unanswered and carried out late', () => {
+describe('a third of the orders unanswered and executed late', () => {
   it.each([
     { seed: 6, without: ['rebalance'] as const },
     { seed: 5, without: ['reserve'] as const },
-  ])('bring no dissolved group back whose members join others (seed $seed)', (options) => {
+  ])('restore no dissolved group whose members join others (seed $seed)', (options) => {
     expect(runLosses({ ...options, lateShare: 0.35 }).violations).toEqual([]);
   });
 
-  /** Time until the large model is served again once a member is lost, milliseconds. */
+  /** Time from the loss of a member until the large model is served again, milliseconds. */
   function outageMs(seed: number): number {
     const random = createRandom(seed);
     const fleet = createEngineFleet({ ...FLEET, domains: [11], hasTraffic: false });
@@ -286,7 +286,7 @@
     return ms;
   }
 
-  it('keep a group that lost a member from serving for two seconds at most, as a mean', () => {
+  it('delay the replacement of a lost member by less than two seconds on average', () => {
     const outages = Array.from({ length: 20 }, (_, i) => outageMs(i + 1));
     expect(outages.reduce((sum, ms) => sum + ms, 0) / outages.length).toBeLessThan(2_000);
   });
--- a/tests/gateway/polling.test.ts
+++ b/tests/gateway/polling.test.ts
@@ -5,56 +5,56 @@
 import { at } from './support';
 
 const SETTLE_MS = 3_000;
-const LONGEST_MS = maxCallMs(SETTLE_MS);
+const MAX_MS = maxCallMs(SETTLE_MS);
 const NOW = at(10_000);
 
 function plan(more: Partial<PollParams> = {}) {
-  const needs = { now: NOW, settleMs: SETTLE_MS, preferredWaitMs: 20_000, isFailing: false };
-  return planPoll({ ...needs, freshUntil: NOW, ...more });
+  const params = { now: NOW, settleMs: SETTLE_MS, preferredWaitMs: 20_000, isFailing: false };
+  return planPoll({ ...params, freshUntil: NOW, ...more });
 }
 
-describe('a poll that nobody vouches for', () => {
-  it('is over in time for another one, however long it would like to wait', () => {
+describe('a poll of a daemon whose data no peer reports as fresh', () => {
+  it('ends in time for another one, whatever its preferred wait', () => {
     const poll = plan();
     expect(poll.waitMs).toBeGreaterThan(0);
-    expect(poll.overdueAt - NOW).toBeLessThanOrEqual(LONGEST_MS);
+    expect(poll.overdueAt - NOW).toBeLessThanOrEqual(MAX_MS);
     expect(checkPoll(poll, { now: at(poll.overdueAt - 1), freshUntil: NOW })).toBe('wait');
     expect(checkPoll(poll, { now: poll.overdueAt, freshUntil: NOW })).toBe('overdue');
   });
 
-  it('waits no longer than it would like to', () => {
+  it('waits no longer than preferred', () => {
     expect(plan({ preferredWaitMs: 600 }).waitMs).toBe(600);
   });
 
-  it('asks a store that failed only whether it is back, and leaves a slow one time', () => {
+  it('does not wait at a store that failed, but leaves a slow one time to respond', () => {
     const poll = plan({ isFailing: true });
     expect(poll.waitMs).toBe(0);
-    expect(poll.overdueAt - NOW).toBe(LONGEST_MS);
+    expect(poll.overdueAt - NOW).toBe(MAX_MS);
   });
 
-  it('is given up once the store has answered a call that came later', () => {
+  it('is overdue once the store has answered a later call', () => {
     const poll = plan({ isFailing: true });
-    const facts = { now: at(NOW + 1_000), freshUntil: NOW };
-    expect(checkPoll(poll, { ...facts, answeredAt: at(NOW + 50) })).toBe('wait');
-    expect(checkPoll(poll, { ...facts, answeredAt: at(NOW + 950) })).toBe('overdue');
+    const progress = { now: at(NOW + 1_000), freshUntil: NOW };
+    expect(checkPoll(poll, { ...progress, answeredAt: at(NOW + 50) })).toBe('wait');
+    expect(checkPoll(poll, { ...progress, answeredAt: at(NOW + 950) })).toBe('overdue');
   });
 });
 
-describe('a poll of a daemon whose leader vouches for what it knows', () => {
+describe('a poll of a daemon whose leader reports its data as fresh', () => {
   const poll = plan({ freshUntil: at(NOW + 500) });
 
-  it('waits as long as it likes', () => {
+  it('waits for the preferred time', () => {
     expect(poll.waitMs).toBe(20_000);
-    const facts = { now: at(NOW + 15_000), freshUntil: at(NOW + 15_500) };
-    expect(checkPoll(poll, facts)).toBe('wait');
+    const progress = { now: at(NOW + 15_000), freshUntil: at(NOW + 15_500) };
+    expect(checkPoll(poll, progress)).toBe('wait');
   });
 
-  it('is sent anew, and is no failure, when the leader falls silent', () => {
-    const facts = { now: at(NOW + 5_000), freshUntil: at(NOW + 5_000) };
-    expect(checkPoll(poll, facts)).toBe('renew');
+  it('is renewed, without counting as a failure, when the leader becomes silent', () => {
+    const progress = { now: at(NOW + 5_000), freshUntil: at(NOW + 5_000) };
+    expect(checkPoll(poll, progress)).toBe('renew');
   });
 
-  it('is not sent anew before it could be old', () => {
-    expect(checkPoll(poll, { now: at(NOW + LONGEST_MS - 1), freshUntil: NOW })).toBe('wait');
+  it('is not renewed before the data can be stale', () => {
+    expect(checkPoll(poll, { now: at(NOW + MAX_MS - 1), freshUntil: NOW })).toBe('wait');
   });
 });
--- a/tests/gateway/relays.test.ts
+++ b/tests/gateway/relays.test.ts
@@ -10,7 +10,7 @@
 const NOW = at(10_000);
 const ZONES = 5;
 
-/** Three strong daemons in each zone, the others weak. */
+/** Three daemons with many cores in each zone, the others with few. */
 function makePeers(count: number, more: (n: number) => Partial<RelayPeer> = () => ({})) {
   return Array.from({ length: count }, (_, n): RelayPeer => ({
     id: brandAs<DaemonId>(`d${n}`),
@@ -24,13 +24,13 @@
   }));
 }
 
-function reached(fanOut: FanOut): string[] {
+function recipients(fanOut: FanOut): string[] {
   return [...fanOut].flatMap(([address, to]) => [address, ...to]);
 }
 
 describe('a message to a fleet', () => {
-  it.each([14, 70, 194, 669])('of %i reaches each daemon once', (count) => {
-    const all = reached(planFanOut(makePeers(count), NOW));
+  it.each([14, 70, 194, 669])('to %i daemons reaches each once', (count) => {
+    const all = recipients(planFanOut(makePeers(count), NOW));
     expect(all.toSorted()).toEqual(
       makePeers(count)
         .map(({ address }) => address)
@@ -38,14 +38,17 @@
     );
   });
 
-  it.each([70, 194, 669])('of %i takes no daemon more than twice the root of it', (count) => {
-    const fanOut = planFanOut(makePeers(count), NOW);
-    const most = 2 * Math.sqrt(count);
-    expect(fanOut.size).toBeLessThanOrEqual(most);
-    for (const to of fanOut.values()) expect(to.length).toBeLessThanOrEqual(most);
-  });
+  it.each([70, 194, 669])(
+    'to %i daemons costs none more than twice the square root of that in sends',
+    (count) => {
+      const fanOut = planFanOut(makePeers(count), NOW);
+      const most = 2 * Math.sqrt(count);
+      expect(fanOut.size).toBeLessThanOrEqual(most);
+      for (const to of fanOut.values()) expect(to.length).toBeLessThanOrEqual(most);
+    },
+  );
 
-  it('is passed on by the strongest daemons, each inside its own zone', () => {
+  it('is relayed by the daemons with the most cores, each within its own zone', () => {
     const peers = makePeers(194);
     const zoneOf = new Map(peers.map(({ address, zone }) => [address, zone]));
     for (const [relay, to] of planFanOut(peers, NOW)) {
@@ -57,21 +60,24 @@
   });
 
   it.each([
-    { who: 'was silent for a moment', more: { at: at(NOW - RELAY_DEFAULTS.relayFreshMs) } },
-    { who: 'stops', more: { isStopping: true } },
-  ])('is not left to a relay that $who', ({ more }) => {
+    {
+      who: 'was not heard from very recently',
+      more: { at: at(NOW - RELAY_DEFAULTS.relayFreshMs) },
+    },
+    { who: 'is stopping', more: { isStopping: true } },
+  ])('is not sent through a relay that $who', ({ more }) => {
     const fanOut = planFanOut(
       makePeers(194, (n) => (n < 3 * ZONES ? more : {})),
       NOW,
     );
     for (let n = 0; n < 3 * ZONES; n++) expect(fanOut.get(`a${n}`) ?? []).toEqual([]);
-    expect(reached(fanOut)).toHaveLength(194);
+    expect(recipients(fanOut)).toHaveLength(194);
   });
 
   it.each([
-    { who: 'was not heard of lately', more: { at: at(NOW - RELAY_DEFAULTS.peerFreshMs) } },
-    { who: 'does not hear the leader', more: { hearsLeader: false } },
-  ])('goes directly to a daemon that $who', ({ more }) => {
+    { who: 'was not heard from recently', more: { at: at(NOW - RELAY_DEFAULTS.peerFreshMs) } },
+    { who: "does not receive the leader's messages", more: { hearsLeader: false } },
+  ])('is sent directly to a daemon that $who', ({ more }) => {
     const fanOut = planFanOut(
       makePeers(194, (n) => (n === 100 ? more : {})),
       NOW,
@@ -79,7 +85,7 @@
     expect(fanOut.get('a100')).toEqual([]);
   });
 
-  it('goes directly to all where nobody can be a relay', () => {
+  it('is sent directly to all if there is no eligible relay', () => {
     const fanOut = planFanOut(
       makePeers(40, () => ({ isStopping: true })),
       NOW,
@@ -89,14 +95,14 @@
   });
 });
 
-describe('news that go together', () => {
+describe('merged updates', () => {
   const first = {
     since: position(1),
     upTo: position(4),
     changes: [{ key: 's1', value: 1 }, { key: 's2' }],
   };
 
-  it('tell the last state of each server', () => {
+  it('hold the last state of each server', () => {
     const second = {
       since: position(4),
       upTo: position(6),
@@ -109,7 +115,7 @@
     });
   });
 
-  it('do not hide that something between them is unknown', () => {
+  it('drop the earlier update if there is a gap between them', () => {
     const second = { since: position(5), upTo: position(6), changes: [{ key: 's3', value: 3 }] };
     expect(mergeUpdates(first, second)).toEqual(second);
   });
--- a/tests/gateway/retry-budget.test.ts
+++ b/tests/gateway/retry-budget.test.ts
@@ -12,8 +12,8 @@
   readonly isFirst: boolean;
 }
 
-/** When requests were first sent and retries made, where each step that is no first send asks for a retry. */
-function play(steps: readonly Step[], allowance: FleetAllowance, startedAt: number) {
+/** Times of first attempts and of permitted retries; each step that is no first attempt asks for a retry. */
+function simulate(steps: readonly Step[], allowance: FleetAllowance, startedAt: number) {
   let budget = createFleetBudget(at(startedAt));
   let now = 0;
   const firsts: number[] = [];
@@ -33,8 +33,8 @@
   return { firsts, retries };
 }
 
-describe('the retries of one daemon', () => {
-  it('are its part of half the fixed number at once, a window after its start', () => {
+describe('the retry budget of one daemon', () => {
+  it('allows its part of half the fixed number at once, a window after its start', () => {
     let budget = createFleetBudget(at(-ALLOWANCE.windowMs));
     let taken = 0;
     for (let next = takeRetry(budget, ALLOWANCE, at(0)); next;) {
@@ -45,19 +45,19 @@
     expect(taken).toBe(5);
   });
 
-  it('are none at the start of its process, but for what its requests bring', () => {
+  it('is empty when its process starts, and grows with its requests', () => {
     let budget = createFleetBudget(at(0));
     expect(takeRetry(budget, ALLOWANCE, at(0))).toBeUndefined();
     for (let n = 0; n < 5; n++) budget = noteFirstSend(budget, ALLOWANCE, at(0));
     expect(takeRetry(budget, ALLOWANCE, at(0))).toBeDefined();
   });
 
-  it('stay inside the allowance of the fleet when most of its daemons start anew', () => {
+  it('stays within the allowance of the fleet when most daemons restart', () => {
     const fleet: FleetAllowance = { ratio: 0.2, slack: 350, windowMs: 10_000, daemons: 83 };
     let retries = 0;
     let firsts = 0;
     for (let daemon = 0; daemon < 83; daemon++) {
-      // Killed once in the window, and asked for a retry after every second request.
+      // Each daemon is killed once in the window and asks for a retry after every second request.
       for (const [from, to] of [
         [0, 4_000],
         [4_500, 10_000],
@@ -76,8 +76,8 @@
     expect(retries).toBeLessThanOrEqual(0.2 * firsts + 350);
   });
 
-  /** A daemon of a fleet of 195: four or five requests a second, less than two retries of the fixed number. */
-  const LARGE: FleetAllowance = {
+  /** One of 195 daemons, with four or five requests per second; its part of the fixed number is below two. */
+  const LARGE_FLEET: FleetAllowance = {
     ratio: 0.15,
     burstRatio: 0.04,
     slack: 350,
@@ -85,30 +85,32 @@
     daemons: 195,
   };
 
-  it('are two or three at once in a large fleet whose groups are lost whole', () => {
+  it('allows two or three retries at once in a large fleet, when a group is lost', () => {
     let budget = createFleetBudget(at(0));
     for (let now = 0; now < 20_000; now += 225) {
-      budget = noteFirstSend(budget, LARGE, at(now));
+      budget = noteFirstSend(budget, LARGE_FLEET, at(now));
     }
     let taken = 0;
-    for (let next = takeRetry(budget, LARGE, at(20_000)); next;) {
+    for (let next = takeRetry(budget, LARGE_FLEET, at(20_000)); next;) {
       taken += 1;
-      next = takeRetry(next, LARGE, at(20_000));
+      next = takeRetry(next, LARGE_FLEET, at(20_000));
     }
     expect(taken).toBeGreaterThanOrEqual(2);
     expect(taken).toBeLessThanOrEqual(3);
   });
 
-  it('stay inside what the users count in a large fleet, also where callers stop to come', () => {
+  it('stays within the limit as users count it in a large fleet, even when requests cease', () => {
     const step = fc.record({ ms: fc.integer({ min: 0, max: 250 }), isFirst: fc.boolean() });
     fc.assert(
       fc.property(fc.array(step, { maxLength: 600 }), (steps) => {
-        const { firsts, retries } = play(steps, LARGE, 0);
+        const { firsts, retries } = simulate(steps, LARGE_FLEET, 0);
         const count = (times: readonly number[], from: number): number =>
-          times.filter((time) => time >= from && time < from + LARGE.windowMs).length;
-        const part = LARGE.slack / LARGE.daemons;
+          times.filter((time) => time >= from && time < from + LARGE_FLEET.windowMs).length;
+        const part = LARGE_FLEET.slack / LARGE_FLEET.daemons;
         for (const start of retries) {
-          const counted = [0, 0.5, 1].map((back) => count(firsts, start - back * LARGE.windowMs));
+          const counted = [0, 0.5, 1].map((back) =>
+            count(firsts, start - back * LARGE_FLEET.windowMs),
+          );
           const allowed = Math.max(1, part) + 1 + 0.2 * Math.max(...counted);
           expect(count(retries, start)).toBeLessThanOrEqual(allowed);
         }
@@ -117,11 +119,11 @@
     );
   });
 
-  it('stay inside the allowance in every window, whatever the order of sends', () => {
+  it('stays within the allowance in every window, whatever the order of attempts', () => {
     const step = fc.record({ ms: fc.integer({ min: 0, max: 400 }), isFirst: fc.boolean() });
     fc.assert(
       fc.property(fc.array(step, { maxLength: 400 }), (steps) => {
-        const { firsts, retries } = play(steps, ALLOWANCE, -ALLOWANCE.windowMs);
+        const { firsts, retries } = simulate(steps, ALLOWANCE, -ALLOWANCE.windowMs);
         for (const start of retries) {
           const inWindow = (time: number): boolean => time >= start && time < start + 10_000;
           const allowed = 10 + 1 + 0.2 * firsts.filter(inWindow).length;
--- a/tests/gateway/routes.test.ts
+++ b/tests/gateway/routes.test.ts
@@ -32,7 +32,7 @@
     ['a.example', '/ab/x', undefined],
     ['c.example', '/a/x', undefined],
     ['a.example', 'no-slash', undefined],
-  ])('is the longest prefix: %s %s', (host, path, name) => {
+  ])('is the one with the longest matching prefix: %s %s', (host, path, name) => {
     expect(table.find(host, path)?.name).toBe(name);
   });
 });
@@ -44,7 +44,7 @@
     expect(identifyCaller(table, makeRoute(), 'k2')).toEqual({ kind: 'known', organisation });
   });
 
-  it('is unknown with another key or none', () => {
+  it('is unknown with a wrong key or none', () => {
     expect(identifyCaller(table, makeRoute(), 'k3').kind).toBe('unknown-key');
     expect(identifyCaller(table, makeRoute()).kind).toBe('unknown-key');
   });
@@ -54,7 +54,7 @@
     expect(identifyCaller(createRouteTable(makeConfig()), makeRoute()).kind).toBe('anonymous');
   });
 
-  it('has the priority of its organisation before that of the route', () => {
+  it('has the priority of its organisation, else that of the route', () => {
     expect(priorityOf(makeRoute({ priority: 1 }), organisation)).toBe(3);
     expect(priorityOf(makeRoute({ priority: 1 }), {})).toBe(1);
   });
@@ -76,7 +76,7 @@
     expect(pickTarget(route, 0.999)).toBe(y);
   });
 
-  it('is none where the route names none', () => {
+  it('is undefined if the route has no targets', () => {
     expect(pickTarget(makeRoute({ targets: [] }), 0.5)).toBeUndefined();
   });
 });
--- a/tests/gateway/server-backoff.test.ts
+++ b/tests/gateway/server-backoff.test.ts
@@ -10,26 +10,26 @@
 const SERVER = instance('s1');
 const NONE: Backoffs = new Map();
 
-describe('the rest that a server asks for', () => {
-  it('lasts until its end, and until the later one of two', () => {
-    const rests = noteBackoff(NONE, SERVER, 3_000, at(100));
-    expect(backoffRemainingMs(rests, SERVER, at(100))).toBe(3_000);
-    expect(backoffRemainingMs(rests, SERVER, at(3_100))).toBe(0);
-    expect(backoffRemainingMs(noteBackoff(rests, SERVER, 500, at(200)), SERVER, at(200))).toBe(
+describe('the backoff that a server asks for', () => {
+  it('lasts until its end, or the later end of two', () => {
+    const backoffs = noteBackoff(NONE, SERVER, 3_000, at(100));
+    expect(backoffRemainingMs(backoffs, SERVER, at(100))).toBe(3_000);
+    expect(backoffRemainingMs(backoffs, SERVER, at(3_100))).toBe(0);
+    expect(backoffRemainingMs(noteBackoff(backoffs, SERVER, 500, at(200)), SERVER, at(200))).toBe(
       2_900,
     );
-    expect(backoffRemainingMs(noteBackoff(rests, SERVER, 5_000, at(200)), SERVER, at(200))).toBe(
+    expect(backoffRemainingMs(noteBackoff(backoffs, SERVER, 5_000, at(200)), SERVER, at(200))).toBe(
       5_000,
     );
   });
 
-  it('holds for one life of the server, and leaves none out for ever', () => {
-    const rests = noteBackoff(NONE, SERVER, 999_999_999_000, at(0));
-    expect(backoffRemainingMs(rests, instance('s1@2'), at(0))).toBe(0);
-    expect(backoffRemainingMs(rests, SERVER, at(600_000))).toBe(0);
+  it('applies to one process of the server, and is limited', () => {
+    const backoffs = noteBackoff(NONE, SERVER, 999_999_999_000, at(0));
+    expect(backoffRemainingMs(backoffs, instance('s1@2'), at(0))).toBe(0);
+    expect(backoffRemainingMs(backoffs, SERVER, at(600_000))).toBe(0);
   });
 
-  it('leaves no turns here, tells when it ends, and wakes requests that wait', () => {
+  it('leaves no tokens, reports when it ends, and wakes waiting requests', () => {
     let ms = 0;
     const clock = { now: () => at(ms), epoch: () => brandAs<EpochTime>(ms) };
     const ctx = makeContext({ clock, settings: { id: brandAs<DaemonId>('d0') } });
@@ -46,12 +46,12 @@
   });
 });
 
-describe('a rest on the wire', () => {
+describe('the Retry-After header', () => {
   it.each([
     ['3', 3_000],
     ['0.25', 250],
     ['0', 0],
-  ])('%j is read', (text, restMs) => {
+  ])('%j is parsed', (text, restMs) => {
     expect(dialect.readAnswer(503, { 'retry-after': text })).toMatchObject({
       restMs,
       unreadable: [],
@@ -65,20 +65,20 @@
     expect(restMs).toBeLessThanOrEqual(60_000);
   });
 
-  it('may be a date by the clock of the server', () => {
+  it("may be a date by the server's clock", () => {
     const date = new Date(Date.now() - 3_600_000);
     const until = new Date(date.getTime() + 7_000).toUTCString();
     const headers = { date: date.toUTCString(), 'retry-after': until };
     expect(dialect.readAnswer(503, headers).restMs).toBe(7_000);
   });
 
-  it.each(['', '-3', 'NaN', '1e400', 'soon', '3, 5'])('%j is not understood', (text) => {
+  it.each(['', '-3', 'NaN', '1e400', 'soon', '3, 5'])('%j is reported as unreadable', (text) => {
     const facts = dialect.readAnswer(503, { 'retry-after': text });
     expect(facts.restMs).toBeUndefined();
     expect(facts.unreadable).toEqual([{ about: 'rest', header: `retry-after: ${text}` }]);
   });
 
-  it('is one of an answer that turns a request away', () => {
+  it('is ignored in a successful response', () => {
     expect(dialect.readAnswer(200, { 'retry-after': '3' }).restMs).toBeUndefined();
   });
 });
--- a/tests/gateway/succession.test.ts
+++ b/tests/gateway/succession.test.ts
@@ -7,27 +7,27 @@
 const daemon = (n: number): DaemonId => brandAs<DaemonId>(`d${n}`);
 
 describe('the lease of the leader', () => {
-  it('goes to one of the strongest machines of a fleet', () => {
-    const strengths = new Map(
+  it('goes to one of the daemons with the most cores', () => {
+    const cores = new Map(
       Array.from({ length: 195 }, (_, n) => [daemon(n), n % 13 === 0 ? 1.35 : 0.324] as const),
     );
-    const first = rankSuccessors('groups', strengths).slice(0, 15);
-    expect(first.every((id) => strengths.get(id) === 1.35)).toBe(true);
+    const first = rankSuccessors('groups', cores).slice(0, 15);
+    expect(first.every((id) => cores.get(id) === 1.35)).toBe(true);
   });
 
-  it('goes to the same daemon whatever the order in which they are known', () => {
+  it('goes to the same daemon in whatever order the daemons are listed', () => {
     const pairs = Array.from({ length: 20 }, (_, n) => [daemon(n), 1] as const);
     const ranked = rankSuccessors('groups', new Map(pairs));
     expect(rankSuccessors('groups', new Map(pairs.toReversed()))).toEqual(ranked);
   });
 
-  it('is looked at by few while no leader is heard, and by the others only after their turns', () => {
-    const lookers = (afterMs: number): number =>
+  it('is read by few daemons at first while there is no leader, and by the others with increasing delay', () => {
+    const readers = (afterMs: number): number =>
       Array.from({ length: 195 }, (_, rank) => leaseReadDelayMs(rank, 300)).filter(
         (delay) => delay <= afterMs,
       ).length;
-    expect(lookers(0)).toBeLessThanOrEqual(10);
-    expect(lookers(3_000)).toBeLessThanOrEqual(20);
-    expect(lookers(60_000)).toBe(195);
+    expect(readers(0)).toBeLessThanOrEqual(10);
+    expect(readers(3_000)).toBeLessThanOrEqual(20);
+    expect(readers(60_000)).toBe(195);
   });
 });
--- a/tests/gateway/suspicion.test.ts
+++ b/tests/gateway/suspicion.test.ts
@@ -8,8 +8,8 @@
 
 const GROUP = brandAs<GroupId>('group-1');
 
-/** Tries the group whenever nothing speaks against it, in vain; gives the instants of the tries. */
-function tryInVain(evidence: Evidence, untilMs: number): number[] {
+/** Tries the group whenever it isn't suspected, with each try failing; returns the times of the tries. */
+function failingTries(evidence: Evidence, untilMs: number): number[] {
   const tries: number[] = [];
   let suspicions: Suspicions = new Map();
   for (let now = 0; now < untilMs; now += 100) {
@@ -20,35 +20,35 @@
   return tries;
 }
 
-describe('a group that disappoints', () => {
+describe('a group that fails', () => {
   it('is tried less and less often', () => {
-    expect(tryInVain('unreachable', 20_000)).toEqual([0, 1_500, 4_500, 10_500, 16_500]);
+    expect(failingTries('unreachable', 20_000)).toEqual([0, 1_500, 4_500, 10_500, 16_500]);
   });
 
-  it('is not tried again where the leader found it lost', () => {
-    expect(tryInVain('lost', 20_000)).toEqual([0]);
+  it('is not tried again if the leader found it lost', () => {
+    expect(failingTries('lost', 20_000)).toEqual([0]);
   });
 
-  it('is held back from once for what several daemons or streams see together', () => {
+  it('is held once for failures that several daemons or streams observe together', () => {
     let suspicions: Suspicions = new Map();
     for (let n = 0; n < 9; n++) suspicions = noteEvidence(suspicions, GROUP, 'silent', at(n * 10));
     expect(isSuspect(suspicions, GROUP, at(1_590))).toBe(false);
   });
 
-  it('starts afresh once it has served for a while', () => {
+  it('starts again with the first hold once it has served for a while', () => {
     const first = noteEvidence(new Map(), GROUP, 'rejecting', at(0));
     const again = noteEvidence(first, GROUP, 'rejecting', at(5_000));
     expect(isSuspect(again, GROUP, at(6_400))).toBe(true);
     expect(isSuspect(again, GROUP, at(6_500))).toBe(false);
   });
 
-  it('does not shorten what is held of a lost one', () => {
+  it('does not have the hold of a lost group shortened by other evidence', () => {
     const lost = noteEvidence(new Map(), GROUP, 'lost', at(0));
     const again = noteEvidence(lost, GROUP, 'silent', at(100));
     expect(isSuspect(again, GROUP, at(19_000))).toBe(true);
   });
 
-  it('says nothing of another group with the same head', () => {
+  it('does not affect another group with the same head', () => {
     const suspicions = noteEvidence(new Map(), GROUP, 'lost', at(0));
     expect(isSuspect(suspicions, brandAs<GroupId>('group-2'), at(1))).toBe(false);
   });
--- a/tests/gateway/waiting-order.test.ts
+++ b/tests/gateway/waiting-order.test.ts
@@ -19,7 +19,7 @@
 }
 
 describe('of two waiting requests', () => {
-  it('the more urgent one goes first, however late and long', () => {
+  it('the one of higher priority goes first, however late and long', () => {
     const urgent = request(0, { priority: 0, holdMs: 9_000 });
     expect(compareWaiting(urgent, request(900), at(1_000))).toBeLessThan(0);
   });
@@ -28,7 +28,7 @@
     expect(compareWaiting(request(700), request(0), at(1_000))).toBeLessThan(0);
   });
 
-  it('a short one goes before a long one that came a little earlier, and not before one that came much earlier', () => {
+  it('a short one goes before a long one that arrived slightly earlier, but not before one that arrived much earlier', () => {
     const short = request(200, { holdMs: 0 });
     expect(compareWaiting(short, request(150), at(300))).toBeLessThan(0);
     expect(compareWaiting(request(200, { holdMs: 0 }), request(50), at(300))).toBeGreaterThan(0);
@@ -45,19 +45,19 @@
 const LONG_MS = 1_800;
 const SHORT_MS = 400;
 
-/** Long and short requests at 1.3 times what 36 places can take, for 60 s; those on time, by kind. */
+/** Offers long and short requests at 1.3 times the capacity of 36 slots for 60 s; counts those on time, by kind. */
 function countOnTime(compare: Compare): Readonly<Record<'long' | 'short', number>> {
   const random = createRandom(7);
   const onTime = { long: 0, short: 0 };
   let waiting: WaitingRequest[] = [];
-  let ends: number[] = [];
+  let slotEnds: number[] = [];
   for (let now = 0; now < 60_000; now += 10) {
-    ends = ends.filter((end) => end > now);
+    slotEnds = slotEnds.filter((end) => end > now);
     if (random.next() < 0.2) waiting.push(request(now, { holdMs: LONG_MS }));
     if (random.next() < 0.27) waiting.push(request(now, { holdMs: SHORT_MS }));
     waiting.sort((a, b) => compare(a, b, at(now)));
-    for (const { holdMs, onTimeUntil } of waiting.splice(0, 36 - ends.length)) {
-      ends.push(now + holdMs);
+    for (const { holdMs, onTimeUntil } of waiting.splice(0, 36 - slotEnds.length)) {
+      slotEnds.push(now + holdMs);
       if (now < onTimeUntil) onTime[holdMs === LONG_MS ? 'long' : 'short'] += 1;
     }
     waiting = waiting.filter(({ arrivedAt }) => now < arrivedAt + 1_300);
@@ -65,13 +65,13 @@
   return onTime;
 }
 
-describe('requests of two lengths, more than there are places', () => {
+describe('requests of two lengths at overload', () => {
   const inOrderOfArrival: Compare = (a, b, now) => {
     const late = Number(now >= a.onTimeUntil) - Number(now >= b.onTimeUntil);
     return late || a.arrivedAt - b.arrivedAt;
   };
 
-  it('are on time more often than in order of arrival, and the long ones not starved', () => {
+  it('are on time more often than in order of arrival, without starving the long ones', () => {
     const before = countOnTime(inOrderOfArrival);
     const after = countOnTime(compareWaiting);
     expect(after.long + after.short).toBeGreaterThan(1.1 * (before.long + before.short));
@@ -80,7 +80,7 @@
 });
 
 describe('the mean holding time', () => {
-  it('begins with the first request and follows the later ones', () => {
+  it('starts at the first sample and follows later ones', () => {
     expect(smoothHoldMs(undefined, 500)).toBe(500);
     expect(smoothHoldMs(500, 1_500)).toBe(600);
   });
--- a/tests/gateway/work.test.ts
+++ b/tests/gateway/work.test.ts
@@ -3,8 +3,8 @@
 import { summarizeServers, summarizeWork } from '../../src/core/gateway/work';
 import { inGroup, LARGE, makeServer, SERVICE, SMALL } from './support';
 
-describe('the work of a model', () => {
-  it('tells requests in places from those that wait in engines and those that wait in daemons', () => {
+describe('the load of a model', () => {
+  it('distinguishes requests in slots, requests queued in engines and requests waiting in daemons', () => {
     const groups = [
       { model: LARGE, running: 25, batchSize: 18, isSuspect: false },
       { model: LARGE, running: 10, batchSize: 18, isSuspect: false },
@@ -19,14 +19,14 @@
     ]);
   });
 
-  it('is told of a model without groups where requests wait for it', () => {
+  it('includes a model without groups that has waiting requests', () => {
     const found = summarizeWork([], [{ model: SMALL, daemons: 1, requests: 2 }]);
     expect(found).toMatchObject([{ model: SMALL, groups: 0, places: 0, waiting: 2 }]);
   });
 });
 
 describe('the servers of a service', () => {
-  it('are counted by what they are at', () => {
+  it('are counted by state', () => {
     const servers = [
       makeServer('1', inGroup('group-1', 0, 'open')),
       makeServer('2', inGroup('group-1', 1, 'ready')),
