--- a/src/core/gateway/forming/plan.ts
+++ b/src/core/gateway/forming/plan.ts
@@ -151,7 +151,7 @@
 const STALE_ENTRY_MS = 500;
 
 /**
- * Handles a group by the state of its head. A dissolved group whose head still reports it after that has
+ * Handles a group by the state of its head. A dissolved group whose head still reports it after `STALE_ENTRY_MS` has
  * been restored by orders carried out late, a join and then an open: its members are not free until the
  * head has left again.
  */
--- a/src/core/gateway/forming/state.ts
+++ b/src/core/gateway/forming/state.ts
@@ -138,7 +138,7 @@
   readonly retirements: ReadonlyMap<GroupId, Retirement>;
   /** Groups whose heads can no longer serve, and since when; their members are free, whatever they report. */
   readonly dissolved: ReadonlyMap<GroupId, MonoTime>;
-  /** When each group that this process didn't form was first seen. */
+  /** When each group was first seen that this process didn't form, or whose head isn't listed. */
   readonly foreignGroups: ReadonlyMap<GroupId, MonoTime>;
   /** Servers suspected lost, and until when. */
   readonly suspects: ReadonlyMap<InstanceId, MonoTime>;
