--- a/src/core/groups/domain-types.ts
+++ b/src/core/groups/domain-types.ts
@@ -1,4 +1,4 @@
-/** State, events and effects of the holder of one fabric domain. */
+/** Settings, state, events and effects of the daemon that holds one fabric domain. */
 
 import type {
   DomainId,
@@ -28,16 +28,16 @@
   readonly spares: SparePolicy;
 }
 
-/** When a silent member is replaced. */
+/** When an unresponsive member is replaced. */
 export type ReplacePolicy = 'timeout' | 'preload' | 'wait';
-/** Which instance replaces it. */
+/** Which free instance replaces it. */
 export type ChoosePolicy = 'lowest-id' | 'warm-first' | 'lend';
-/** Whose weights are loaded first. */
+/** Which group loads its weights first. */
 export type LoadPolicy = 'arrival' | 'value-first';
-/** What is kept free in a domain. */
+/** How many instances a domain keeps in reserve. */
 export type SparePolicy = 'none' | 'one' | 'warm';
 
-/** What the holder needs to know of a model. */
+/** The part of a model's configuration that group planning uses. */
 export interface ModelPlan {
   readonly id: ModelId;
   readonly membersPerReplica: number;
@@ -46,40 +46,42 @@
   readonly policies: PolicyNames;
 }
 
+/** Timeouts and limits of group planning; times in milliseconds. */
 export interface DomainSettings {
-  /** A member unheard of for this long counts as silent. */
+  /** A member that answers no probe for this long counts as unresponsive. */
   readonly unresponsiveMs: number;
-  /** Policy `timeout`: replaced after this much silence. */
+  /** Policy `timeout` replaces a member that has been unresponsive this long. */
   readonly replaceAfterMs: number;
-  /** Policy `preload`: a warm spare takes over after this much silence. */
+  /** Policy `preload` replaces it by a warm spare after this long. */
   readonly confirmMs: number;
-  /** Share of the domain's grouped instances silent at once that makes the domain dark. */
+  /** The domain counts as dark if more than this share of its grouped instances is unresponsive. */
   readonly outageShare: number;
-  /** A domain dark for this long is given up: its groups may form elsewhere. */
+  /** Groups of a domain that is dark this long are dissolved and may form in other domains. */
   readonly outageDissolveMs: number;
-  /** A group without a member, and without one to replace it, gives its instances back then. */
+  /** A group that lacks a member this long, without a replacement, releases its instances. */
   readonly dissolveMs: number;
   /** Longest drain before a planned replacement or dissolution. */
   readonly drainTimeoutMs: number;
-  /** Before the same order is sent again. */
+  /** Time before the same order is sent again. */
   readonly orderRetryMs: number;
-  /** Before an idle instance that still lacks weights is told again to fetch them. */
+  /** Time before an idle instance that still lacks weights is sent another preload order. */
   readonly preloadRetryMs: number;
-  /** Before a group that broke is started again with the next epoch. */
+  /** Time after a change of a group before it may be restarted with the next epoch. */
   readonly restartDelayMs: number;
-  /** Members of the domain that may fetch weights at a time; left out: those of one group. */
+  /** Members of the domain that may load weights concurrently; default: those of one group. */
   readonly maxLoads?: number;
-  /** The same for all domains together, as far as their holders hear of each other. */
+  /** The same across all domains, as far as their holders receive each other's counts. */
   readonly maxLoadsOverall: number;
-  /** How much later each further domain tries for a free slot. */
+  /** Delay per rank before a domain tries to fill an open slot. */
   readonly slotRankDelayMs: number;
-  /** Rows are read again after this long, should another's write have been missed. */
+  /** Rows are read again after this long, in case another daemon's write was missed. */
   readonly rowRefreshMs: number;
 }
 
-/** Fewer silent instances than this never make a domain dark. */
+/** Fewer unresponsive instances than this never make a domain dark. */
 export const MIN_OUTAGE_INSTANCES = 3;
 
+/** Default settings. */
 export const DOMAIN_SETTINGS: DomainSettings = {
   unresponsiveMs: 3_000,
   replaceAfterMs: 30_000,
@@ -96,48 +98,52 @@
   rowRefreshMs: 30_000,
 };
 
-/** What is known of one instance of the domain. */
+/** The holder's view of one instance of the domain. */
 export interface InstanceView {
-  readonly facts?: InstanceInfo;
-  /** An operator's word, or a peer's, that it is leaving. */
+  /** The instance as the platform lists it; absent while it does not. */
+  readonly listing?: InstanceInfo;
+  /** An operator or a peer asked for the instance to be drained. */
   readonly isDrainRequested: boolean;
   readonly report?: EngineReport;
-  /** When the probe that brought the report was sent. */
+  /** When the probe that returned the report was sent. */
   readonly reportedAt?: MonoTime;
-  /** Since when its reports name this state, group and epoch. */
+  /** When its reports first showed the present state, group and epoch. */
   readonly changedAt?: MonoTime;
-  /** Since when it gave no answer; absent while it does. */
-  readonly silentSince?: MonoTime;
-  /** Another daemon sees it well until then. */
+  /** When the first unanswered probe was sent; absent while it answers. */
+  readonly unresponsiveSince?: MonoTime;
+  /** Until then another daemon's observation shows it as healthy. */
   readonly peerConfirmedUntil?: MonoTime;
-  /** The last order sent, and when it may be sent again. */
+  /** The last order sent. */
   readonly order?: SentOrder;
 }
 
+/** An order that was sent; one with the same text is not repeated before `retryAt`. */
 export interface SentOrder {
   readonly kind: PlannedOrder['kind'];
   readonly text: string;
   readonly retryAt: MonoTime;
 }
 
-/** A slot that no group fills and how many domains come before this one for it. */
+/** A replica slot without a group, and how many domains precede this one in filling it. */
 export interface OpenSlot {
   readonly model: ModelId;
   readonly slot: number;
   readonly rank: number;
 }
 
+/** The domain's lease as its holder knows it; valid before `validUntil`. */
 export interface DomainLease {
   readonly fencing: FencingNumber;
   readonly fenceVersion: number;
   readonly validUntil: MonoTime;
 }
 
+/** What the holder of a domain knows and has in flight. */
 export interface DomainState {
   readonly domain: DomainId;
   readonly settings: DomainSettings;
   readonly lease?: DomainLease;
-  /** Whether the rows were read under the present fencing number. */
+  /** Whether the rows were read under the current fencing number. */
   readonly rows: 'unread' | 'reading' | 'read';
   readonly readAt: MonoTime;
   readonly groups: Readonly<Record<GroupId, Versioned<GroupRow>>>;
@@ -145,23 +151,24 @@
   readonly instances: Readonly<Record<InstanceId, InstanceView>>;
   readonly models: Readonly<Record<ModelId, ModelPlan>>;
   readonly openSlots: readonly OpenSlot[];
-  /** When each open slot was first seen open. */
+  /** By key: when each open slot was first seen open. */
   readonly openSince: Readonly<Record<string, MonoTime>>;
   readonly pending?: GroupTransaction;
-  /** No transaction before this, after one that failed. */
+  /** After a failed transaction, the earliest time of the next one. */
   readonly retryAt: MonoTime;
-  /** By group: when its drain ends at the latest. */
+  /** By group: deadline of its drain. */
   readonly drainUntil: Readonly<Record<GroupId, MonoTime>>;
-  /** By group: not started again before this. */
+  /** By group: earliest restart. */
   readonly restartAt: Readonly<Record<GroupId, MonoTime>>;
+  /** Start of an outage of the domain; absent while there is none. */
   readonly darkSince?: MonoTime;
-  /** Members fetching weights in other domains, as their holders say. */
+  /** Members loading weights in other domains, as their holders publish it. */
   readonly loadsElsewhere: number;
-  /** Numbers the groups and transactions made by this process. */
+  /** Number of the next group or transaction of this process. */
   readonly seq: number;
 }
 
-/** A condition or a write on one of the rows of groups. */
+/** A write to a group, instance or slot row; without `row` it deletes the row. */
 export type GroupWrite =
   | { readonly kind: 'group'; readonly id: GroupId; readonly row?: GroupRow }
   | { readonly kind: 'instance'; readonly id: InstanceId; readonly row: InstanceRow }
@@ -172,13 +179,14 @@
       readonly row?: SlotRow;
     };
 
+/** A write that is conditional on the version of its row. */
 export interface ConditionalWrite {
   readonly write: GroupWrite;
-  /** Version that the row must have; left out where the group's row guards it. */
+  /** Version that the row must have; omitted where the condition on the group's row suffices. */
   readonly version?: number;
 }
 
-/** Rows that change together, under the fencing number of the domain's lease. */
+/** Rows written atomically, on condition that the lease's fence row is unchanged. */
 export interface GroupTransaction {
   readonly id: number;
   readonly reason: string;
@@ -186,7 +194,7 @@
   readonly writes: readonly ConditionalWrite[];
 }
 
-/** An order as the core decides it; the adapter adds the authority. */
+/** An order to an engine as planned here; the sender adds `OrderAuthority`. */
 export type PlannedOrder =
   | {
       readonly kind: 'join';
@@ -200,6 +208,7 @@
   | { readonly kind: 'release'; readonly group: GroupId; readonly epoch: Epoch }
   | { readonly kind: 'preload'; readonly model: ModelId };
 
+/** Inputs of `reduceDomain`. */
 export type DomainEvent =
   | { readonly kind: 'leased'; readonly lease: DomainLease }
   | { readonly kind: 'unleased' }
@@ -218,6 +227,7 @@
       readonly sentAt: MonoTime;
     }
   | { readonly kind: 'silent'; readonly instance: InstanceId; readonly sentAt: MonoTime }
+  /** Another daemon's observation shows all members of the group as healthy until then. */
   | { readonly kind: 'vouched'; readonly group: GroupId; readonly until: MonoTime }
   | { readonly kind: 'drain'; readonly instance: InstanceId }
   | {
@@ -228,13 +238,16 @@
   | {
       readonly kind: 'committed';
       readonly id: number;
-      /** Version after the commit, by key of each row put. */
+      /** By key of each row written: its version after the commit. */
       readonly versions: Readonly<Record<string, number>>;
     }
+  /** Nothing was written; `conflict` if a condition failed. */
   | { readonly kind: 'refused'; readonly id: number; readonly conflict: boolean }
+  /** Whether the transaction was committed is unknown. */
   | { readonly kind: 'unsure'; readonly id: number }
   | { readonly kind: 'tick' };
 
+/** Actions that `reduceDomain` asks for. */
 export type DomainEffect =
   | { readonly kind: 'read'; readonly instances: readonly InstanceId[] }
   | { readonly kind: 'commit'; readonly transaction: GroupTransaction }
--- a/src/core/groups/domain.ts
+++ b/src/core/groups/domain.ts
@@ -1,7 +1,7 @@
 /**
- * The holder of one fabric domain: from the rows, the configuration and the members' reports to
- * transactions and orders. One transaction at a time; a lost answer is read back before anything
- * else is decided.
+ * Reducer of the daemon that holds one fabric domain: turns rows, configuration and members'
+ * reports into transactions and orders. One transaction is in flight at a time; if its response
+ * is lost, the rows are read back before the next decision.
  */
 
 import { later } from '../ids';
@@ -29,8 +29,8 @@
   onReported,
   onSilent,
   onVouched,
-  withInfo,
-  restartSilence,
+  withListing,
+  restartUnresponsiveTime,
   withView,
 } from './observations';
 import type { Versioned } from './types';
@@ -41,11 +41,13 @@
 const REFUSED_RETRY_MS = 500;
 const READ_RETRY_MS = 2_000;
 
+/** Parameters of `createDomain`; omitted settings take their defaults. */
 export interface DomainOptions {
   readonly domain: DomainId;
   readonly settings?: Partial<DomainSettings>;
 }
 
+/** The initial state of a domain: no lease, no rows read. */
 export function createDomain(options: DomainOptions, now: MonoTime): DomainState {
   return {
     domain: options.domain,
@@ -66,7 +68,7 @@
   };
 }
 
-/** Whether this daemon may decide for the domain at this instant. */
+/** Whether this daemon's lease on the domain is valid at this instant. */
 export function mayDecide(state: DomainState, now: MonoTime): boolean {
   return state.lease !== undefined && now < state.lease.validUntil;
 }
@@ -77,9 +79,9 @@
 
 function onLeased(state: DomainState, { lease }: EventOf<'leased'>, now: MonoTime): DomainStep {
   if (state.lease?.fencing === lease.fencing) return next({ ...state, lease });
-  // Silence from before is no silence: this daemon may have been paused, and probed nobody.
-  const begun = restartSilence(withoutPending(state), now);
-  return next({ ...begun, lease, rows: 'unread' });
+  // Unanswered time from before does not count: a paused daemon has probed nobody.
+  const renewed = restartUnresponsiveTime(withoutPending(state), now);
+  return next({ ...renewed, lease, rows: 'unread' });
 }
 
 function onUnleased(state: DomainState): DomainStep {
@@ -87,12 +89,13 @@
 }
 
 function onListed(state: DomainState, event: EventOf<'listed'>): DomainStep {
-  const facts = new Map(event.instances.map((one) => [one.id, one]));
+  const listings = new Map(event.instances.map((one) => [one.id, one]));
   const grouped = groupsOf(state).flatMap(({ members }) => members.map((one) => one.instance));
-  const kept = new Set([...facts.keys(), ...grouped]);
+  const kept = new Set([...listings.keys(), ...grouped]);
   const instances: Record<InstanceId, InstanceView> = {};
-  for (const id of kept) instances[id] = withInfo(state.instances[id] ?? NO_VIEW, facts.get(id));
-  const isNew = [...facts.keys()].some((id) => state.instanceRows[id] === undefined);
+  for (const id of kept)
+    instances[id] = withListing(state.instances[id] ?? NO_VIEW, listings.get(id));
+  const isNew = [...listings.keys()].some((id) => state.instanceRows[id] === undefined);
   const rows = isNew && state.rows === 'read' ? 'unread' : state.rows;
   return next({ ...state, instances, rows });
 }
@@ -110,7 +113,7 @@
   return next(withMembers(after));
 }
 
-/** Members that the platform's list does not have, so that they are probed all the same. */
+/** Adds members that are missing from the platform's list, so that they are still probed. */
 function withMembers(state: DomainState): DomainState {
   const instances = { ...state.instances };
   for (const { members } of groupsOf(state)) {
@@ -140,7 +143,7 @@
   return next(withFreedSlot(withoutSlot(withRestart(after, tx, now), tx), tx, now));
 }
 
-/** A slot just filled is open no more, whatever the last look at all groups said. */
+/** Removes a slot just filled from the open ones; the last scan of all groups may predate it. */
 function withoutSlot(state: DomainState, tx: GroupTransaction): DomainState {
   const filled = tx.writes.flatMap(({ write }) =>
     write.kind === 'slot' && write.row ? [slotKey(write.model, write.slot)] : [],
@@ -152,7 +155,7 @@
   };
 }
 
-/** A slot just given back is open here, before the next look at all groups says so. */
+/** Adds a slot just released to the open ones, before the next scan of all groups shows it. */
 function withFreedSlot(state: DomainState, tx: GroupTransaction, now: MonoTime): DomainState {
   const freed = tx.writes.flatMap(({ write }) =>
     write.kind === 'slot' && !write.row ? [{ model: write.model, slot: write.slot, rank: 1 }] : [],
@@ -163,7 +166,7 @@
   return { ...state, openSlots: [...state.openSlots, ...freed], openSince };
 }
 
-/** Gives a group that was just changed the time to start before it is started again. */
+/** Delays the next restart of a group that was just changed, so that it has time to start. */
 function withRestart(state: DomainState, tx: GroupTransaction, now: MonoTime): DomainState {
   const restartAt = { ...state.restartAt };
   for (const { write } of tx.writes) {
@@ -186,7 +189,7 @@
   return next({ ...withoutSlot(withoutPending(state), state.pending), rows: 'unread' });
 }
 
-/** Deadlines of drains that began, and of dark domains. */
+/** Sets the deadlines of drains that began, and the start or end of an outage of the domain. */
 function withDeadlines(state: DomainState, now: MonoTime): DomainState {
   const drainUntil: Record<GroupId, MonoTime> = {};
   for (const row of groupsOf(state)) {
@@ -196,8 +199,8 @@
   const { darkSince } = state;
   if (isDomainDown(state, now)) return { ...state, drainUntil, darkSince: darkSince ?? now };
   if (darkSince === undefined) return { ...state, drainUntil };
-  // The domain is coming back: members that come a little later than the rest are not yet lost.
-  return { ...omit(restartSilence(state, now), 'darkSince'), drainUntil };
+  // The domain is recovering: members that return a little later than others are not yet lost.
+  return { ...omit(restartUnresponsiveTime(state, now), 'darkSince'), drainUntil };
 }
 
 function readRows(state: DomainState): DomainStep {
@@ -214,26 +217,26 @@
   if (state.rows === 'unread' || (isOld && !state.pending)) {
     return now < state.retryAt ? next(state) : readRows(state);
   }
-  const timed = withDeadlines(state, now);
-  const { state: ordered, effects } = sendOrders(timed, now);
-  if (ordered.pending || now < ordered.retryAt) return { state: ordered, effects };
-  const tx = planGroups(ordered, now) ?? planForming(ordered, now);
-  if (!tx) return { state: ordered, effects };
-  const after = { ...ordered, pending: tx, seq: ordered.seq + 1 };
+  const withTimers = withDeadlines(state, now);
+  const { state: afterOrders, effects } = sendOrders(withTimers, now);
+  if (afterOrders.pending || now < afterOrders.retryAt) return { state: afterOrders, effects };
+  const tx = planGroups(afterOrders, now) ?? planForming(afterOrders, now);
+  if (!tx) return { state: afterOrders, effects };
+  const after = { ...afterOrders, pending: tx, seq: afterOrders.seq + 1 };
   return next<DomainState, DomainEffect>(after, ...effects, { kind: 'commit', transaction: tx });
 }
 
-/** Sends what is planned, but the same order to the same instance only after a while. */
+/** Sends the planned orders; the same order to the same instance only after a retry delay. */
 function sendOrders(state: DomainState, now: MonoTime): DomainStep {
   const effects: DomainEffect[] = [];
   let after = state;
   for (const { instance, order } of planOrders(state, now)) {
     const view = after.instances[instance];
-    const address = view?.facts?.address ?? addressOf(state, instance);
-    // A restarted engine has forgotten what it was told.
+    const address = view?.listing?.address ?? addressOf(state, instance);
+    // A restarted engine has lost the orders it received.
     const text = `${view?.report?.incarnation} ${JSON.stringify(order)}`;
-    const sentAgo = view?.order?.text === text && now < view.order.retryAt;
-    if (sentAgo || address === undefined) continue;
+    const isRecentlySent = view?.order?.text === text && now < view.order.retryAt;
+    if (isRecentlySent || address === undefined) continue;
     const { kind } = order;
     const { orderRetryMs, preloadRetryMs } = state.settings;
     const retryAt = later(now, kind === 'preload' ? preloadRetryMs : orderRetryMs);
@@ -243,14 +246,15 @@
   return { state: after, effects };
 }
 
-/** Where an instance is reached, by the list or else by its group's row. */
+/** The address of an instance, from the platform's list or else from its group's row. */
 export function addressOf(state: DomainState, instance: InstanceId): string | undefined {
-  const facts = state.instances[instance]?.facts;
-  if (facts) return facts.address;
+  const listing = state.instances[instance]?.listing;
+  if (listing) return listing.address;
   const members = groupsOf(state).flatMap((row) => row.members);
   return members.find((member) => member.instance === instance)?.address;
 }
 
+/** The reducer of one fabric domain. */
 export const reduceDomain = createReducer<DomainState, DomainEvent, DomainEffect>({
   leased: (state, event, { now }) => onLeased(state, event, now),
   unleased: onUnleased,
--- a/src/core/groups/forming.ts
+++ b/src/core/groups/forming.ts
@@ -1,4 +1,4 @@
-/** Filling open slots with new groups. */
+/** Plans new groups for open replica slots. */
 
 import { later } from '../ids';
 import type { Epoch, GroupId, MonoTime } from '../ids';
@@ -7,40 +7,44 @@
 import { groupsOf, isWanted, leavingMembers, memberOf, unresponsiveMembers } from './health';
 import { formGroup, slotKey } from './rows';
 
-/** A soft reserve is given up only after the domains that need not do so had their turn. */
-const SOFT_RESERVE_TURNS = 4;
+/** A domain uses its soft reserve this many ranks later, after domains that need not use theirs. */
+const SOFT_RESERVE_RANKS = 4;
 
-/** The transaction that forms the next group, if a slot and enough free instances are there. */
+/** The transaction that forms the next group, if a slot is open and enough instances are free. */
 export function planForming(state: DomainState, now: MonoTime): GroupTransaction | undefined {
   if (state.darkSince !== undefined) return undefined;
-  for (const slot of byWorth(state)) {
-    const tx = formIn(state, slot, now);
+  for (const slot of byDowntimeCost(state)) {
+    const tx = formGroupForSlot(state, slot, now);
     if (tx) return tx;
   }
   return undefined;
 }
 
-function byWorth(state: DomainState): readonly OpenSlot[] {
-  const worth = (slot: OpenSlot) => state.models[slot.model]?.weights.downtime ?? 0;
-  return [...state.openSlots].sort((a, b) => worth(b) - worth(a));
+function byDowntimeCost(state: DomainState): readonly OpenSlot[] {
+  const costOf = (slot: OpenSlot) => state.models[slot.model]?.weights.downtime ?? 0;
+  return [...state.openSlots].sort((a, b) => costOf(b) - costOf(a));
 }
 
-function formIn(state: DomainState, slot: OpenSlot, now: MonoTime): GroupTransaction | undefined {
+function formGroupForSlot(
+  state: DomainState,
+  slot: OpenSlot,
+  now: MonoTime,
+): GroupTransaction | undefined {
   const plan = state.models[slot.model];
   if (!plan || !state.lease) return undefined;
   const free = CHOOSE_POLICIES[plan.policies.choose](state, plan, now);
-  const left = free.length - plan.membersPerReplica - neededByGroups(state, now);
+  const remaining = free.length - plan.membersPerReplica - countReplacements(state, now);
   const reserve = SPARE_POLICIES[plan.policies.spares];
-  if (left < (reserve.isHard ? reserve.count : 0)) return undefined;
-  const turns = slot.rank + (left < reserve.count ? SOFT_RESERVE_TURNS : 0);
+  if (remaining < (reserve.isHard ? reserve.count : 0)) return undefined;
+  const rank = slot.rank + (remaining < reserve.count ? SOFT_RESERVE_RANKS : 0);
   const since = state.openSince[slotKey(slot.model, slot.slot)] ?? now;
-  if (now < later(since, turns * state.settings.slotRankDelayMs)) return undefined;
+  if (now < later(since, rank * state.settings.slotRankDelayMs)) return undefined;
   const members = free.slice(0, plan.membersPerReplica).map((id) => memberOf(state, id));
   return formGroup(state, newRow(state, plan, slot, members), state.lease.fenceVersion);
 }
 
-/** Free instances that groups with missing or leaving members have first claim to. */
-function neededByGroups(state: DomainState, now: MonoTime): number {
+/** Number of free instances reserved to replace unresponsive and leaving members of groups. */
+function countReplacements(state: DomainState, now: MonoTime): number {
   const rows = groupsOf(state).filter((row) => row.phase !== 'draining' && isWanted(state, row));
   return rows.reduce(
     (sum, row) =>
@@ -57,7 +61,7 @@
 ) {
   const fencing = state.lease?.fencing ?? 0;
   return {
-    // Unique: the fencing number is this holder's own, and `seq` grows with each transaction.
+    // Unique: the fencing number belongs to this holder, and `seq` grows with each transaction.
     id: `${state.domain}.${fencing}.${state.seq}` as GroupId,
     model: plan.id,
     domain: state.domain,
--- a/src/core/groups/lifecycle.ts
+++ b/src/core/groups/lifecycle.ts
@@ -1,4 +1,4 @@
-/** What a group needs next: at most one transaction, by the first rule that applies. */
+/** Plans the next change of existing groups: one transaction at most, by the first rule to apply. */
 
 import { later } from '../ids';
 import type { Epoch, InstanceId, MonoTime } from '../ids';
@@ -23,11 +23,11 @@
 
 type Rule = (state: DomainState, row: GroupRow, now: MonoTime) => GroupTransaction | undefined;
 
-/** In order; the first that gives a transaction wins. */
+/** In order of precedence: the first rule that returns a transaction wins. */
 const RULES: readonly Rule[] = [
-  endDrained,
+  dissolveDrained,
   drainUnwanted,
-  replaceSilent,
+  replaceUnresponsive,
   replaceLeaving,
   restartBroken,
   confirmServing,
@@ -35,15 +35,19 @@
 
 /** The next transaction of any group of the domain. */
 export function planGroups(state: DomainState, now: MonoTime): GroupTransaction | undefined {
-  const dark = state.darkSince !== undefined;
+  const isDark = state.darkSince !== undefined;
   for (const row of groupsOf(state)) {
-    const tx = dark ? giveUpDark(state, row, now) : firstOf(state, row, now);
+    const tx = isDark ? dissolveAfterOutage(state, row, now) : applyRules(state, row, now);
     if (tx) return tx;
   }
   return undefined;
 }
 
-function firstOf(state: DomainState, row: GroupRow, now: MonoTime): GroupTransaction | undefined {
+function applyRules(
+  state: DomainState,
+  row: GroupRow,
+  now: MonoTime,
+): GroupTransaction | undefined {
   for (const rule of RULES) {
     const tx = rule(state, row, now);
     if (tx) return tx;
@@ -56,19 +60,19 @@
   return isDrained(state, row, now) || (until !== undefined && now >= until);
 }
 
-function endDrained(state: DomainState, row: GroupRow, now: MonoTime) {
+function dissolveDrained(state: DomainState, row: GroupRow, now: MonoTime) {
   if (row.phase !== 'draining' || !isDrainOver(state, row, now)) return undefined;
   return dissolveGroup(state, row.id, 'drained');
 }
 
 function drainUnwanted(state: DomainState, row: GroupRow, now: MonoTime) {
   if (row.phase === 'draining' || isWanted(state, row)) return undefined;
-  if (mustWaitItsTurn(state, row, now)) return undefined;
+  if (mustWaitForOthers(state, row, now)) return undefined;
   return changeGroup(state, row.id, { phase: 'draining' }, 'unwanted');
 }
 
-/** Groups whose size alone has changed give way one after the other, so that some always serve. */
-function mustWaitItsTurn(state: DomainState, row: GroupRow, now: MonoTime): boolean {
+/** Groups of which only the size changed are drained one at a time, so that some always serve. */
+function mustWaitForOthers(state: DomainState, row: GroupRow, now: MonoTime): boolean {
   const plan = planOf(state, row);
   if (!plan || (row.slot ?? 0) >= plan.replicas || !isServing(state, row, now)) return false;
   const others = groupsOf(state).filter(({ id, model }) => model === row.model && id !== row.id);
@@ -78,83 +82,87 @@
   );
 }
 
-function replaceSilent(state: DomainState, row: GroupRow, now: MonoTime) {
+function replaceUnresponsive(state: DomainState, row: GroupRow, now: MonoTime) {
   if (row.phase === 'draining') return undefined;
   const missing = unresponsiveMembers(state, row, now);
   const plan = planOf(state, row);
   if (missing.length === 0 || !plan) return undefined;
   const chosen = CHOOSE_POLICIES[plan.policies.choose](state, plan, now);
-  const silences = missing.map((id) => silenceOf(state, id, now));
-  const due = missing.every((id, i) => {
+  const durationsMs = missing.map((id) => unresponsiveMsOf(state, id, now));
+  const isDue = missing.every((id, i) => {
     if (isRemoved(state, state.instances[id], now)) return true;
     const spare = chosen[i];
     const warm = spare !== undefined && isWarm(state, spare, plan.id);
-    const found = { silentMs: silences[i] ?? 0, warm, settings: state.settings };
-    return REPLACE_POLICIES[plan.policies.replace](found);
+    const replacement = { unresponsiveMs: durationsMs[i] ?? 0, warm, settings: state.settings };
+    return REPLACE_POLICIES[plan.policies.replace](replacement);
   });
-  if (due && chosen.length >= missing.length) return swap(state, row, missing, chosen, 'replace');
+  if (isDue && chosen.length >= missing.length)
+    return replaceMembers(state, row, missing, chosen, 'replace');
   if (chosen.length >= missing.length) return undefined;
-  return borrow(state, row, Math.min(...silences), now);
+  return borrow(state, row, Math.min(...durationsMs), now);
 }
 
-function silenceOf(state: DomainState, id: InstanceId, now: MonoTime): number {
+function unresponsiveMsOf(state: DomainState, id: InstanceId, now: MonoTime): number {
   const view = state.instances[id];
   return (view && unresponsiveFor(state, view, now)) ?? 0;
 }
 
-/** No free instance: take them from a group of less value, or give the survivors back. */
-function borrow(state: DomainState, row: GroupRow, silence: number, now: MonoTime) {
-  const lender = findLender(state, row, groupsOf(state), silence, now);
+/** Without enough free instances: drains a group of lower value, or in the end dissolves this one. */
+function borrow(state: DomainState, row: GroupRow, unresponsiveMs: number, now: MonoTime) {
+  const lender = findLender(state, row, groupsOf(state), unresponsiveMs, now);
   if (lender) return changeGroup(state, lender.id, { phase: 'draining' }, 'lend');
-  if (silence < state.settings.dissolveMs) return undefined;
+  if (unresponsiveMs < state.settings.dissolveMs) return undefined;
   return dissolveGroup(state, row.id, 'given-up');
 }
 
-/** Leaving members are replaced once the group is drained and the spare holds the weights. */
+/** Replaces leaving members once the group is drained; their spares preload weights meanwhile. */
 function replaceLeaving(state: DomainState, row: GroupRow, now: MonoTime) {
   const leaving = leavingMembers(state, row);
   const plan = planOf(state, row);
   if (row.phase === 'draining' || leaving.length === 0 || !plan) return undefined;
   const chosen = CHOOSE_POLICIES[plan.policies.choose](state, plan, now);
   if (chosen.length < leaving.length || !isDrainOver(state, row, now)) return undefined;
-  return swap(state, row, leaving, chosen, 'leaving');
+  return replaceMembers(state, row, leaving, chosen, 'leaving');
 }
 
-/** Starts a group again, with the next epoch, after a member lost it or it broke. */
+/** Restarts a group with the next epoch after a member lost the group, broke or began to drain. */
 function restartBroken(state: DomainState, row: GroupRow, now: MonoTime) {
   if (row.phase === 'draining' || leavingMembers(state, row).length > 0) return undefined;
   if (now < (state.restartAt[row.id] ?? now)) return undefined;
   const healths = row.members.map(({ instance }) => healthOf(state, row, instance, now));
   if (!isSettled(state, row)) return undefined;
-  const lost = row.phase === 'serving' && healths.includes('astray');
-  if (!lost && !healths.includes('broken') && !healths.includes('draining')) return undefined;
-  return swapCold(state, row, now) ?? changeGroup(state, row.id, nextEpoch(row), 'restart');
+  const hasLostGroup = row.phase === 'serving' && healths.includes('misassigned');
+  if (!hasLostGroup && !healths.includes('broken') && !healths.includes('draining'))
+    return undefined;
+  return replaceCold(state, row, now) ?? changeGroup(state, row.id, nextEpoch(row), 'restart');
 }
 
-/** Whether every member answered a probe sent after the last of them changed. */
+/** Whether every member has answered a probe sent since the last change of any member. */
 function isSettled(state: DomainState, row: GroupRow): boolean {
   const views = row.members.map(({ instance }) => state.instances[instance]);
   const changedAt = Math.max(...views.map((view) => view?.changedAt ?? 0));
   return views.every(
     (view) =>
       view?.reportedAt !== undefined &&
-      view.silentSince === undefined &&
+      view.unresponsiveSince === undefined &&
       view.reportedAt >= changedAt,
   );
 }
 
-/** A member that restarted without its weights gives way to a spare that holds them. */
-function swapCold(state: DomainState, row: GroupRow, now: MonoTime) {
+/** Replaces members that restarted without their weights by spares that hold them. */
+function replaceCold(state: DomainState, row: GroupRow, now: MonoTime) {
   const plan = planOf(state, row);
   if (!plan) return undefined;
   const cold = row.members
     .map(({ instance }) => instance)
-    .filter((id) => healthOf(state, row, id, now) === 'astray' && !isWarm(state, id, plan.id));
+    .filter((id) => healthOf(state, row, id, now) === 'misassigned' && !isWarm(state, id, plan.id));
   const warm = CHOOSE_POLICIES[plan.policies.choose](state, plan, now).filter((id) =>
     isWarm(state, id, plan.id),
   );
   if (plan.policies.choose === 'lowest-id' || cold.length === 0) return undefined;
-  return warm.length < cold.length ? undefined : swap(state, row, cold, warm, 'swap-cold');
+  return warm.length < cold.length
+    ? undefined
+    : replaceMembers(state, row, cold, warm, 'swap-cold');
 }
 
 function confirmServing(state: DomainState, row: GroupRow, now: MonoTime) {
@@ -162,8 +170,8 @@
   return changeGroup(state, row.id, { phase: 'serving' }, 'serving');
 }
 
-/** A domain dark for long: its groups may form elsewhere. */
-function giveUpDark(state: DomainState, row: GroupRow, now: MonoTime) {
+/** After a long outage, dissolves a group without reachable members: it may form elsewhere. */
+function dissolveAfterOutage(state: DomainState, row: GroupRow, now: MonoTime) {
   if (state.darkSince === undefined) return undefined;
   if (now < later(state.darkSince, state.settings.outageDissolveMs)) return undefined;
   const allSilent = unresponsiveMembers(state, row, now).length === row.members.length;
@@ -174,17 +182,17 @@
   return { epoch: (row.epoch + 1) as Epoch, phase: 'forming' as const };
 }
 
-function swap(
+function replaceMembers(
   state: DomainState,
   row: GroupRow,
-  out: readonly InstanceId[],
+  outgoing: readonly InstanceId[],
   chosen: readonly InstanceId[],
   reason: string,
 ): GroupTransaction | undefined {
-  const into = chosen.slice(0, out.length);
+  const incoming = chosen.slice(0, outgoing.length);
   const members = row.members.map((member) => {
-    const at = out.indexOf(member.instance);
-    const id = at < 0 ? undefined : into[at];
+    const index = outgoing.indexOf(member.instance);
+    const id = index < 0 ? undefined : incoming[index];
     return id === undefined ? member : memberOf(state, id);
   });
   return changeGroup(state, row.id, { ...nextEpoch(row), members }, reason);
--- a/src/core/groups/observations.ts
+++ b/src/core/groups/observations.ts
@@ -1,4 +1,4 @@
-/** What the holder of a domain keeps of each instance, and how reports and silence change it. */
+/** The holder's view of each instance, and how reports and unanswered probes change it. */
 
 import { omit } from '../../utils/omit';
 import type { InstanceId, MonoTime } from '../ids';
@@ -10,8 +10,10 @@
 type DomainStep = Step<DomainState, DomainEffect>;
 type EventOf<K extends DomainEvent['kind']> = Extract<DomainEvent, { kind: K }>;
 
+/** The view of an instance before anything is known about it. */
 export const NO_VIEW: InstanceView = { isDrainRequested: false };
 
+/** The state with a changed view of one instance. */
 export function withView(
   state: DomainState,
   instance: InstanceId,
@@ -21,26 +23,28 @@
   return { ...state, instances: { ...state.instances, [instance]: view } };
 }
 
-/** Counts the silence of all who are silent from `now` on. */
-export function restartSilence(state: DomainState, now: MonoTime): DomainState {
+/** Counts the unresponsive time of all instances from `now` on. */
+export function restartUnresponsiveTime(state: DomainState, now: MonoTime): DomainState {
   const instances: Record<InstanceId, InstanceView> = { ...state.instances };
   for (const id of Object.keys(instances) as InstanceId[]) {
     const view = instances[id];
-    if (view?.silentSince !== undefined) instances[id] = { ...view, silentSince: now };
+    if (view?.unresponsiveSince !== undefined) instances[id] = { ...view, unresponsiveSince: now };
   }
   return { ...state, instances };
 }
 
-export function withInfo(view: InstanceView, facts: InstanceInfo | undefined): InstanceView {
-  return facts ? { ...view, facts } : omit(view, 'facts');
+/** The view with what the platform lists about the instance; undefined if it lists it no longer. */
+export function withListing(view: InstanceView, listing: InstanceInfo | undefined): InstanceView {
+  return listing ? { ...view, listing } : omit(view, 'listing');
 }
 
+/** Takes in a report unless a probe sent later has already returned one. */
 export function onReported(state: DomainState, event: EventOf<'reported'>): DomainStep {
-  const before = state.instances[event.instance];
-  if (!before || (before.reportedAt ?? event.sentAt) > event.sentAt) return next(state);
+  const previous = state.instances[event.instance];
+  if (!previous || (previous.reportedAt ?? event.sentAt) > event.sentAt) return next(state);
   return next(
     withView(state, event.instance, (view) => ({
-      ...omit(view, 'silentSince'),
+      ...omit(view, 'unresponsiveSince'),
       report: event.report,
       reportedAt: event.sentAt,
       changedAt: isSame(view.report, event.report)
@@ -54,17 +58,19 @@
   return a?.state === b.state && a.group === b.group && a.epoch === b.epoch;
 }
 
+/** Takes in an unanswered probe unless a probe sent later has returned a report. */
 export function onSilent(state: DomainState, event: EventOf<'silent'>): DomainStep {
-  const before = state.instances[event.instance];
-  if (!before || (before.reportedAt ?? event.sentAt) > event.sentAt) return next(state);
+  const previous = state.instances[event.instance];
+  if (!previous || (previous.reportedAt ?? event.sentAt) > event.sentAt) return next(state);
   return next(
     withView(state, event.instance, (view) => ({
       ...view,
-      silentSince: view.silentSince ?? event.sentAt,
+      unresponsiveSince: view.unresponsiveSince ?? event.sentAt,
     })),
   );
 }
 
+/** Takes in another daemon's observation that a group's members are healthy. */
 export function onVouched(state: DomainState, event: EventOf<'vouched'>): DomainStep {
   const members = state.groups[event.group]?.row.members ?? [];
   const after = members.reduce(
--- a/src/core/groups/orders.ts
+++ b/src/core/groups/orders.ts
@@ -1,6 +1,6 @@
 /**
- * Bringing engines to what the rows say, by orders that are repeated until the reports match. Also
- * what corrects engines that ignore fencing numbers and took an order from a former holder.
+ * Reconciles engines with the rows by orders that are repeated until the reports match. This also
+ * corrects engines that ignore fencing numbers and followed an order of a former holder.
  */
 
 import type { InstanceId, ModelId, MonoTime } from '../ids';
@@ -17,14 +17,15 @@
 } from './health';
 import type { GroupRow } from './types';
 
+/** An order and the instance that it goes to. */
 export interface AddressedOrder {
   readonly instance: InstanceId;
   readonly order: PlannedOrder;
 }
 
-/** All orders that the domain's engines need now; those sent a moment ago included. */
+/** All orders that the domain's engines need now, including those sent recently. */
 export function planOrders(state: DomainState, now: MonoTime): readonly AddressedOrder[] {
-  const rows = inLoadOrder(state);
+  const rows = sortByLoadOrder(state);
   const joins = joinOrders(state, rows, now);
   return [
     ...joins,
@@ -34,34 +35,34 @@
   ];
 }
 
-function inLoadOrder(state: DomainState): readonly GroupRow[] {
+function sortByLoadOrder(state: DomainState): readonly GroupRow[] {
   const rows = groupsOf(state);
   const first = rows.map((row) => planOf(state, row)).find((plan) => plan !== undefined);
   return first ? LOAD_POLICIES[first.policies.loads](state, rows) : rows;
 }
 
-function isUnheard(state: DomainState, instance: InstanceId): boolean {
+function isUnreachable(state: DomainState, instance: InstanceId): boolean {
   const view = state.instances[instance];
-  return !view?.report || view.silentSince !== undefined;
+  return !view?.report || view.unresponsiveSince !== undefined;
 }
 
-/** Instances fetching weights now, here, as far as their reports tell or their orders. */
+/** Number of the domain's instances that load weights now, as reports and orders show it. */
 export function countLoads(state: DomainState, now: MonoTime): number {
   const views = Object.values<DomainState['instances'][InstanceId]>(state.instances);
-  return views.filter((view) => isFetching(view, now)).length;
+  return views.filter((view) => isLoadingWeights(view, now)).length;
 }
 
-function isFetching({ report, order }: InstanceView, now: MonoTime): boolean {
+function isLoadingWeights({ report, order }: InstanceView, now: MonoTime): boolean {
   if (report?.state === 'loading' && report.model !== undefined) {
-    // With its weights it only waits for the others.
+    // Once it holds the weights it only waits for the other members.
     return !report.weights.includes(report.model);
   }
-  // An idle one does not say; most have no weights at all before the fetch is done.
-  const isTold = order?.kind === 'preload' && now < order.retryAt;
-  return isTold && report?.state === 'idle' && report.weights.length === 0;
+  // An idle instance does not report a preload; most hold no weights at all until it completes.
+  const hasPreloadOrder = order?.kind === 'preload' && now < order.retryAt;
+  return hasPreloadOrder && report?.state === 'idle' && report.weights.length === 0;
 }
 
-/** At least one member may always load, however busy the other domains say they are. */
+/** Concurrent loads allowed here: at least one, however many loads other domains report. */
 function loadLimit({ settings, models, loadsElsewhere }: DomainState): number {
   const sizes = Object.values<ModelPlan>(models).map((plan) => plan.membersPerReplica);
   const here = settings.maxLoads ?? Math.max(...sizes, 1);
@@ -78,38 +79,38 @@
   for (const row of rows) {
     if (row.phase === 'draining') continue;
     for (const order of joinsOf(state, row, now)) {
-      const cold = order.order.kind === 'join' && !isWarm(state, order.instance, row.model);
-      if (cold && budget <= 0) continue;
-      if (cold) budget--;
+      const isCold = order.order.kind === 'join' && !isWarm(state, order.instance, row.model);
+      if (isCold && budget <= 0) continue;
+      if (isCold) budget--;
       orders.push(order);
     }
-    // Rank 0 must not lose its turn to the next group while it waits for the others to join.
-    if (isFirstToCome(state, row, now)) budget--;
+    // Reserved for rank 0: the next group must not take this load while rank 0 waits to join.
+    if (isRankZeroPending(state, row, now)) budget--;
   }
   return orders;
 }
 
-/** Whether rank 0 has yet to join and to fetch weights, and nobody is missing. */
-function isFirstToCome(state: DomainState, row: GroupRow, now: MonoTime): boolean {
+/** Whether rank 0 has yet to join and to load weights, and all members are reachable. */
+function isRankZeroPending(state: DomainState, row: GroupRow, now: MonoTime): boolean {
   const first = row.members[0]?.instance;
   if (first === undefined || isWarm(state, first, row.model)) return false;
-  if (row.members.some(({ instance }) => isUnheard(state, instance))) return false;
+  if (row.members.some(({ instance }) => isUnreachable(state, instance))) return false;
   return healthOf(state, row, first, now) !== 'loading';
 }
 
-/** Rank 0 goes last: it watches the others from the moment it joins. */
+/** Rank 0 joins last, because it monitors the others from the moment it joins. */
 function joinsOf(state: DomainState, row: GroupRow, now: MonoTime): readonly AddressedOrder[] {
   const joined = row.members.map(({ instance }) =>
-    ['well', 'loading', 'draining'].includes(healthOf(state, row, instance, now)),
+    ['healthy', 'loading', 'draining'].includes(healthOf(state, row, instance, now)),
   );
   const othersJoined = joined.slice(1).every(Boolean);
   return row.members.flatMap(({ instance }, rank) => {
-    if (joined[rank] || (rank === 0 && !othersJoined) || isUnheard(state, instance)) return [];
+    if (joined[rank] || (rank === 0 && !othersJoined) || isUnreachable(state, instance)) return [];
     const report = state.instances[instance]?.report;
-    // A newer epoch than the row's: the rows are out of date, or the engine is another's.
+    // A newer epoch than the row's: the rows are stale, or another holder commands the engine.
     if (!report || (report.group === row.id && (report.epoch ?? 0) >= row.epoch)) return [];
-    const foreign = report.group !== undefined && report.group !== row.id;
-    return foreign ? releaseOf(state, instance) : [{ instance, order: joinOf(row, rank) }];
+    const isForeign = report.group !== undefined && report.group !== row.id;
+    return isForeign ? releaseOf(state, instance) : [{ instance, order: joinOf(row, rank) }];
   });
 }
 
@@ -121,13 +122,13 @@
 function drainOrders(state: DomainState, row: GroupRow, now: MonoTime): readonly AddressedOrder[] {
   if (row.phase !== 'draining' && leavingMembers(state, row).length === 0) return [];
   return row.members.flatMap(({ instance }) => {
-    const runs = healthOf(state, row, instance, now) === 'well';
-    if (!runs || isUnheard(state, instance)) return [];
+    const isRunning = healthOf(state, row, instance, now) === 'healthy';
+    if (!isRunning || isUnreachable(state, instance)) return [];
     return [{ instance, order: { kind: 'drain' as const, group: row.id, epoch: row.epoch } }];
   });
 }
 
-/** Instances that hold a group though their row says that none holds them. */
+/** Releases instances that report a group although their row names none. */
 function releaseOrders(state: DomainState): readonly AddressedOrder[] {
   const ids = Object.keys(state.instances) as InstanceId[];
   return ids.flatMap((instance) => {
@@ -138,22 +139,22 @@
 
 function releaseOf(state: DomainState, instance: InstanceId): readonly AddressedOrder[] {
   const report = state.instances[instance]?.report;
-  if (isUnheard(state, instance) || report?.group === undefined) return [];
+  if (isUnreachable(state, instance) || report?.group === undefined) return [];
   const { group, epoch } = report;
   return epoch === undefined ? [] : [{ instance, order: { kind: 'release', group, epoch } }];
 }
 
-/** Weights fetched ahead by instances that will likely be needed. */
+/** Has instances that will probably be needed load weights in advance. */
 function preloadOrders(
   state: DomainState,
   rows: readonly GroupRow[],
   now: MonoTime,
 ): readonly AddressedOrder[] {
   if (state.darkSince !== undefined) return [];
-  const wanted = new Map<InstanceId, ModelId>();
-  for (const row of rows) wantReplacements(state, row, now, wanted);
-  wantSpare(state, rows, now, wanted);
-  return [...wanted]
+  const preloads = new Map<InstanceId, ModelId>();
+  for (const row of rows) addReplacementPreloads(state, row, now, preloads);
+  addSparePreload(state, rows, now, preloads);
+  return [...preloads]
     .filter(([id, model]) => !isWarm(state, id, model) && !isLoading(state, id))
     .map(([instance, model]) => ({ instance, order: { kind: 'preload', model } }));
 }
@@ -162,36 +163,36 @@
   return state.instances[instance]?.report?.state === 'loading';
 }
 
-function wantReplacements(
+function addReplacementPreloads(
   state: DomainState,
   row: GroupRow,
   now: MonoTime,
-  wanted: Map<InstanceId, ModelId>,
+  preloads: Map<InstanceId, ModelId>,
 ): void {
   const plan = planOf(state, row);
   if (plan?.policies.replace !== 'preload') return;
   const needed = new Set([...unresponsiveMembers(state, row, now), ...leavingMembers(state, row)])
     .size;
   const free = CHOOSE_POLICIES[plan.policies.choose](state, plan, now).filter(
-    (id) => !wanted.has(id),
+    (id) => !preloads.has(id),
   );
-  for (const id of free.slice(0, needed)) wanted.set(id, plan.id);
+  for (const id of free.slice(0, needed)) preloads.set(id, plan.id);
 }
 
-/** One free instance holds the weights of the model whose downtime costs the domain most. */
-function wantSpare(
+/** Keeps the weights of the model with the costliest downtime on one free instance. */
+function addSparePreload(
   state: DomainState,
   rows: readonly GroupRow[],
   now: MonoTime,
-  wanted: Map<InstanceId, ModelId>,
+  preloads: Map<InstanceId, ModelId>,
 ): void {
   const plans = rows.flatMap((row) => planOf(state, row) ?? []);
-  const kept = plans
+  const costliest = plans
     .filter((plan) => SPARE_POLICIES[plan.policies.spares].warm)
     .sort((a, b) => b.weights.downtime - a.weights.downtime)[0];
-  if (!kept) return;
-  const free = freeInstances(state, now).filter((id) => !wanted.has(id));
-  if (free.some((id) => isWarm(state, id, kept.id))) return;
+  if (!costliest) return;
+  const free = freeInstances(state, now).filter((id) => !preloads.has(id));
+  if (free.some((id) => isWarm(state, id, costliest.id))) return;
   const spare = free[0];
-  if (spare !== undefined) wanted.set(spare, kept.id);
+  if (spare !== undefined) preloads.set(spare, costliest.id);
 }
--- a/src/core/groups/policies.ts
+++ b/src/core/groups/policies.ts
@@ -1,6 +1,6 @@
 /**
- * Policies of placing and replacing, behind lookup tables: each new one stands beside the plain one
- * it is measured against. `docs/GROUPS.md` has the figures.
+ * Placement and replacement policies, in lookup tables. Each table also holds the simple policy
+ * that the others are measured against; `docs/GROUPS.md` has the figures.
  */
 
 import type { ModelSpec } from '../config/types';
@@ -18,26 +18,26 @@
 } from './domain-types';
 import type { GroupRow } from './types';
 
-/** What is known when a member is silent and an instance could replace it. */
+/** An unresponsive member and the instance that could replace it. */
 export interface ReplacementCase {
-  readonly silentMs: number;
+  readonly unresponsiveMs: number;
   /** Whether the instance that would replace it holds the weights. */
   readonly warm: boolean;
   readonly settings: DomainSettings;
 }
 
-/** Whether to replace now; otherwise the member may still come back. */
+/** Whether to replace a member now; until then it may still return. */
 export const REPLACE_POLICIES: Readonly<
-  Record<ReplacePolicy, (found: ReplacementCase) => boolean>
+  Record<ReplacePolicy, (replacement: ReplacementCase) => boolean>
 > = {
-  timeout: ({ silentMs, settings }) => silentMs >= settings.replaceAfterMs,
-  // A cold spare fetches weights while the member may still return; whichever is first serves.
-  preload: ({ silentMs, warm, settings }) =>
-    silentMs >= (warm ? settings.confirmMs : settings.replaceAfterMs),
+  timeout: ({ unresponsiveMs, settings }) => unresponsiveMs >= settings.replaceAfterMs,
+  // A cold spare loads weights meanwhile; whichever is ready first, spare or member, serves.
+  preload: ({ unresponsiveMs, warm, settings }) =>
+    unresponsiveMs >= (warm ? settings.confirmMs : settings.replaceAfterMs),
   wait: () => false,
 };
 
-/** Free instances in the order in which they should be used for a model. */
+/** Free instances in order of preference for a model. */
 export const CHOOSE_POLICIES: Readonly<
   Record<
     ChoosePolicy,
@@ -55,32 +55,34 @@
   return [...warm, ...free.filter((id) => !isWarm(state, id, plan.id))];
 }
 
-/** Cost of one second without a group of this model. */
-function worthOf(state: DomainState, row: GroupRow): number {
+/** Cost of one second of downtime of the group. */
+function downtimeCost(state: DomainState, row: GroupRow): number {
   return planOf(state, row)?.weights.downtime ?? 0;
 }
 
 /**
- * The group whose members help `row` most when the domain has no free instance: one that cannot
- * serve either, or, once the silence is long, a serving one of lower value.
+ * The group to take members from when the domain has no free instance for `row`: one that cannot
+ * serve either or, once replacement is due, a serving one of lower value.
  */
 export function findLender(
   state: DomainState,
   row: GroupRow,
   rows: readonly GroupRow[],
-  silence: number,
+  unresponsiveMs: number,
   now: MonoTime,
 ): GroupRow | undefined {
   const plan = planOf(state, row);
-  if (plan?.policies.choose !== 'lend' || silence < state.settings.confirmMs) return undefined;
+  if (plan?.policies.choose !== 'lend' || unresponsiveMs < state.settings.confirmMs)
+    return undefined;
   const others = rows.filter((other) => other.id !== row.id && other.phase !== 'draining');
-  const byWorth = others
-    .filter((other) => worthOf(state, other) <= worthOf(state, row))
-    .sort((a, b) => worthOf(state, a) - worthOf(state, b) || (a.id < b.id ? 1 : -1));
-  const idle = byWorth.find((other) => isBrokenLender(state, row, other, now));
-  if (idle || silence < state.settings.replaceAfterMs) return idle;
-  return byWorth.find(
-    (other) => worthOf(state, other) < worthOf(state, row) && isServing(state, other, now),
+  const byDowntimeCost = others
+    .filter((other) => downtimeCost(state, other) <= downtimeCost(state, row))
+    .sort((a, b) => downtimeCost(state, a) - downtimeCost(state, b) || (a.id < b.id ? 1 : -1));
+  const brokenLender = byDowntimeCost.find((other) => isBrokenLender(state, row, other, now));
+  if (brokenLender || unresponsiveMs < state.settings.replaceAfterMs) return brokenLender;
+  return byDowntimeCost.find(
+    (other) =>
+      downtimeCost(state, other) < downtimeCost(state, row) && isServing(state, other, now),
   );
 }
 
@@ -93,41 +95,44 @@
 ): boolean {
   const missing = unresponsiveMembers(state, other, now).length;
   if (missing === 0 || missing === other.members.length) return false;
-  return worthOf(state, other) < worthOf(state, row) || other.id > row.id;
+  return downtimeCost(state, other) < downtimeCost(state, row) || other.id > row.id;
 }
 
-/** Order in which groups fetch their weights; the first goes first. */
+/** Groups in the order in which they load their weights. */
 export const LOAD_POLICIES: Readonly<
   Record<LoadPolicy, (state: DomainState, rows: readonly GroupRow[]) => readonly GroupRow[]>
 > = {
   arrival: (_state, rows) => rows,
   'value-first': (state, rows) =>
-    [...rows].sort((a, b) => gainOf(state, b) - gainOf(state, a) || (a.id < b.id ? -1 : 1)),
+    [...rows].sort(
+      (a, b) => costPerLoad(state, b) - costPerLoad(state, a) || (a.id < b.id ? -1 : 1),
+    ),
 };
 
-/** Value won by each fetch: Smith's rule, weight over processing time. */
-function gainOf(state: DomainState, row: GroupRow): number {
+/** Downtime cost per load that the group needs: Smith's rule, weight over processing time. */
+function costPerLoad(state: DomainState, row: GroupRow): number {
   const cold = row.members.filter(({ instance }) => !isWarm(state, instance, row.model)).length;
-  return worthOf(state, row) / Math.max(cold, 1);
+  return downtimeCost(state, row) / Math.max(cold, 1);
 }
 
-/** How many instances a domain keeps free, and what for. */
+/** How many instances a domain keeps free, and how. */
 export interface Reserve {
   readonly count: number;
-  /** Kept even if a replica then cannot be formed. */
+  /** Kept even if a replica then cannot form. */
   readonly isHard: boolean;
-  /** Whether kept instances fetch weights ahead. */
+  /** Whether reserved instances preload weights. */
   readonly warm: boolean;
 }
 
+/** The reserve that each policy keeps. */
 export const SPARE_POLICIES: Readonly<Record<SparePolicy, Reserve>> = {
   none: { count: 0, isHard: false, warm: false },
   one: { count: 1, isHard: true, warm: false },
   warm: { count: 1, isHard: false, warm: true },
 };
 
-/** Downtime weighs more than this many stranded accelerators: keep warm spares. */
-const DOWNTIME_HEAVY = 8;
+/** Warm spares are kept if downtime weighs more than this many stranded accelerators. */
+const WARM_SPARE_RATIO = 8;
 
 const DEFAULTS: PolicyNames = {
   replace: 'preload',
@@ -136,16 +141,16 @@
   spares: 'none',
 };
 
-/** The policies that a model's configuration names, the rest chosen by its weights. */
+/** The policies that a model's configuration names; for the others, defaults by its weights. */
 export function policiesOf(spec: Pick<ModelSpec, 'weights' | 'policies'>): PolicyNames {
   const { downtime, stranded } = spec.weights;
-  const spares: SparePolicy = downtime > stranded * DOWNTIME_HEAVY ? 'warm' : 'none';
-  const named = spec.policies;
+  const spares: SparePolicy = downtime > stranded * WARM_SPARE_RATIO ? 'warm' : 'none';
+  const configured = spec.policies;
   return {
-    replace: pick(REPLACE_POLICIES, named.replace, DEFAULTS.replace),
-    choose: pick(CHOOSE_POLICIES, named.choose, DEFAULTS.choose),
-    loads: pick(LOAD_POLICIES, named.loads, DEFAULTS.loads),
-    spares: pick(SPARE_POLICIES, named.spares, spares),
+    replace: pick(REPLACE_POLICIES, configured.replace, DEFAULTS.replace),
+    choose: pick(CHOOSE_POLICIES, configured.choose, DEFAULTS.choose),
+    loads: pick(LOAD_POLICIES, configured.loads, DEFAULTS.loads),
+    spares: pick(SPARE_POLICIES, configured.spares, spares),
   };
 }
 
@@ -157,7 +162,7 @@
   return name !== undefined && Object.hasOwn(table, name) ? (name as K) : fallback;
 }
 
-/** What the planner needs of a model. */
+/** The part of a model's configuration that group planning uses. */
 export function planFor(spec: ModelSpec): ModelPlan {
   return {
     id: spec.id,
--- a/src/core/groups/rows.ts
+++ b/src/core/groups/rows.ts
@@ -1,19 +1,23 @@
-/** Keys of the rows of groups, and the transactions that change them. */
+/** Keys of group, instance and slot rows, and the transactions that write them. */
 
 import type { Epoch, FencingNumber, GroupId, InstanceId, ModelId } from '../ids';
 import type { DomainState, GroupTransaction, ConditionalWrite, GroupWrite } from './domain-types';
 import type { GroupRow, InstanceRow, Member } from './types';
 
+/** Prefix of the keys of all group rows. */
 export const GROUP_PREFIX = 'group/';
 
+/** The key of a group's row. */
 export function groupKey(id: GroupId): string {
   return `${GROUP_PREFIX}${id}`;
 }
 
+/** The key of an instance's row. */
 export function instanceKey(id: InstanceId): string {
   return `instance/${id}`;
 }
 
+/** The key of the row of a model's replica slot. */
 export function slotKey(model: ModelId, slot: number): string {
   return `slot/${model}/${slot}`;
 }
@@ -26,7 +30,7 @@
   slot: ({ model, slot }) => slotKey(model, slot),
 };
 
-/** The key of the row that a write changes. */
+/** The key of the row that a write affects. */
 export function keyOf(write: GroupWrite): string {
   const key = KEY_OF[write.kind] as (write: GroupWrite) => string;
   return key(write);
@@ -47,14 +51,14 @@
   };
 }
 
-/** What a change of a group's row may set. */
+/** Fields of a group's row that a change may set. */
 export interface GroupChange {
   readonly epoch?: Epoch;
   readonly phase?: GroupRow['phase'];
   readonly members?: readonly Member[];
 }
 
-/** The transaction that forms a group and takes its slot. */
+/** The transaction that creates a group and fills its slot. */
 export function formGroup(state: DomainState, row: GroupRow, fenceVersion: number) {
   const writes: ConditionalWrite[] = [
     { write: { kind: 'group', id: row.id, row }, version: 0 },
@@ -72,49 +76,49 @@
   return transaction(state, 'form', fenceVersion, writes);
 }
 
-/** The transaction that changes a group's row and the rows of members that come or go. */
+/** The transaction that changes a group's row and the rows of members that join or leave it. */
 export function changeGroup(
   state: DomainState,
   id: GroupId,
   change: GroupChange,
   reason: string,
 ): GroupTransaction | undefined {
-  const held = state.groups[id];
-  if (!held || !state.lease) return undefined;
+  const current = state.groups[id];
+  if (!current || !state.lease) return undefined;
   const { fencing, fenceVersion } = state.lease;
-  const row: GroupRow = { ...held.row, ...change, fencing };
-  const before = held.row.members.map(({ instance }) => instance);
+  const row: GroupRow = { ...current.row, ...change, fencing };
+  const before = current.row.members.map(({ instance }) => instance);
   const after = row.members.map(({ instance }) => instance);
   const writes: ConditionalWrite[] = [
-    { write: { kind: 'group', id, row }, version: held.version },
-    ...freed(state, without(before, after), row.epoch, fencing),
-    ...without(after, before).map((instance) =>
+    { write: { kind: 'group', id, row }, version: current.version },
+    ...freeInstances(state, difference(before, after), row.epoch, fencing),
+    ...difference(after, before).map((instance) =>
       instanceWrite(state, instance, { group: id, epoch: row.epoch, fencing }),
     ),
   ];
   return transaction(state, reason, fenceVersion, writes);
 }
 
-/** The transaction that ends a group: its row and slot go, its instances are free. */
+/** The transaction that dissolves a group: deletes its row and slot, and frees its instances. */
 export function dissolveGroup(
   state: DomainState,
   id: GroupId,
   reason: string,
 ): GroupTransaction | undefined {
-  const held = state.groups[id];
-  if (!held || !state.lease) return undefined;
+  const current = state.groups[id];
+  if (!current || !state.lease) return undefined;
   const { fencing, fenceVersion } = state.lease;
-  const { model, slot, members, epoch } = held.row;
+  const { model, slot, members, epoch } = current.row;
   const instances = members.map(({ instance }) => instance);
   const writes: ConditionalWrite[] = [
-    { write: { kind: 'group', id }, version: held.version },
-    ...freed(state, instances, epoch, fencing),
+    { write: { kind: 'group', id }, version: current.version },
+    ...freeInstances(state, instances, epoch, fencing),
   ];
   if (slot !== undefined) writes.push({ write: { kind: 'slot', model, slot } });
   return transaction(state, reason, fenceVersion, writes);
 }
 
-function freed(
+function freeInstances(
   state: DomainState,
   instances: readonly InstanceId[],
   epoch: Epoch,
@@ -123,7 +127,7 @@
   return instances.map((instance) => instanceWrite(state, instance, { epoch, fencing }));
 }
 
-function without(
+function difference(
   from: readonly InstanceId[],
   others: readonly InstanceId[],
 ): readonly InstanceId[] {
@@ -139,7 +143,7 @@
   return { id: state.seq, reason, fenceVersion, writes };
 }
 
-/** The state after a transaction whose commit is known. */
+/** The state after a committed transaction; `versions` are those of the written rows, by key. */
 export function applyTransaction(
   state: DomainState,
   tx: GroupTransaction,
--- a/src/core/groups/shortfall.ts
+++ b/src/core/groups/shortfall.ts
@@ -1,56 +1,57 @@
-/** Running totals of the two measures: group downtime and stranded accelerators, by model. */
+/** Running totals of group downtime and stranded accelerators, by model. */
 
 import type { InstanceId, ModelId, MonoTime } from '../ids';
 import type { DomainState } from './domain-types';
 import { groupsOf, isWanted, isServing } from './health';
 
-/** What one domain lacks at an instant. */
+/** Groups and accelerators of one domain that do not serve at an instant. */
 export interface Shortfall {
-  /** Groups that are there but cannot serve, by model. */
+  /** By model: groups that exist but cannot serve. */
   readonly down: Readonly<Record<ModelId, number>>;
-  /** Accelerators of their instances, by model. */
+  /** By model: accelerators of the instances in such groups. */
   readonly stranded: Readonly<Record<ModelId, number>>;
-  /** Accelerators of live instances in no group. */
+  /** Accelerators of listed instances in no group. */
   readonly unassigned: number;
 }
 
-/** Seconds summed since this daemon started, over the domains while it held them. */
+/** Group and accelerator seconds since this daemon started, of domains while it held them. */
 export interface ShortfallTotals {
   readonly downtime: Readonly<Record<ModelId, number>>;
   readonly stranded: Readonly<Record<ModelId, number>>;
   readonly unassigned: number;
 }
 
+/** Totals at the start of a daemon. */
 export const ZERO_TOTALS: ShortfallTotals = { downtime: {}, stranded: {}, unassigned: 0 };
 
 const MS_PER_SECOND = 1_000;
 const DEFAULT_ACCELERATORS = 1;
 
-/** The shortfall of a domain as its holder sees it. */
+/** The current shortfall of a domain as its holder sees it. */
 export function shortfallOf(state: DomainState, now: MonoTime): Shortfall {
   const down: Record<ModelId, number> = {};
   const stranded: Record<ModelId, number> = {};
-  const held = new Set<InstanceId>();
+  const grouped = new Set<InstanceId>();
   for (const row of groupsOf(state)) {
     const instances = row.members.map(({ instance }) => instance);
-    for (const id of instances) held.add(id);
+    for (const id of instances) grouped.add(id);
     if (isServing(state, row, now)) continue;
-    const lost = instances.reduce((sum, id) => sum + acceleratorsOf(state, id), 0);
+    const accelerators = instances.reduce((sum, id) => sum + acceleratorsOf(state, id), 0);
     if (isWanted(state, row)) down[row.model] = (down[row.model] ?? 0) + 1;
-    stranded[row.model] = (stranded[row.model] ?? 0) + lost;
+    stranded[row.model] = (stranded[row.model] ?? 0) + accelerators;
   }
-  const free = (Object.keys(state.instances) as InstanceId[]).filter((id) => !held.has(id));
+  const free = (Object.keys(state.instances) as InstanceId[]).filter((id) => !grouped.has(id));
   const unassigned = free.reduce((sum, id) => sum + acceleratorsOf(state, id), 0);
   return { down, stranded, unassigned };
 }
 
-/** An instance that left the platform's list costs nobody anything. */
+/** Zero for an instance that is no longer on the platform's list: nobody pays for it. */
 function acceleratorsOf(state: DomainState, instance: InstanceId): number {
   const view = state.instances[instance];
-  return view?.facts ? view.facts.accelerators || DEFAULT_ACCELERATORS : 0;
+  return view?.listing ? view.listing.accelerators || DEFAULT_ACCELERATORS : 0;
 }
 
-/** The totals after a shortfall lasted for `ms` milliseconds. */
+/** The totals after a shortfall that lasted for `ms` milliseconds. */
 export function addShortfall(
   totals: ShortfallTotals,
   short: Shortfall,
--- a/src/core/groups/slots.ts
+++ b/src/core/groups/slots.ts
@@ -1,4 +1,4 @@
-/** Which replicas no group fills, and in which order the domains should try to fill them. */
+/** Replica slots without a group, and the order in which domains should try to fill them. */
 
 import type { DomainId, InstanceId, ModelId } from '../ids';
 import type { ModelPlan, OpenSlot } from './domain-types';
@@ -6,6 +6,7 @@
 import { slotKey } from './rows';
 import type { GroupRow, InstanceInfo } from './types';
 
+/** Input of `openSlots`: one domain, and the groups and instances of all. */
 export interface SlotsInput {
   readonly domain: DomainId;
   readonly models: Readonly<Record<ModelId, ModelPlan>>;
@@ -15,44 +16,46 @@
   readonly instances: readonly InstanceInfo[];
 }
 
-/** Live instances in no group, by domain. */
+/** By domain: number of instances that are in no group and not leaving. */
 export function countFreeInstances(input: SlotsInput): ReadonlyMap<DomainId, number> {
-  const held = new Set<InstanceId>();
+  const grouped = new Set<InstanceId>();
   for (const { members } of input.groups) {
-    for (const { instance } of members) held.add(instance);
+    for (const { instance } of members) grouped.add(instance);
   }
   const free = new Map<DomainId, number>();
   for (const { id, domain, leaving } of input.instances) {
-    if (!leaving && !held.has(id)) free.set(domain, (free.get(domain) ?? 0) + 1);
+    if (!leaving && !grouped.has(id)) free.set(domain, (free.get(domain) ?? 0) + 1);
   }
   return free;
 }
 
 /**
- * The open slots that this domain has the instances for. Its rank for each is its place in the
- * rendezvous order of the domains that have as much, so that holders seldom race.
+ * The open slots that this domain has enough free instances for. Its rank for each is its position
+ * in the rendezvous order of all such domains, so that holders seldom race for a slot.
  */
 export function openSlots(input: SlotsInput): readonly OpenSlot[] {
-  const taken = new Set<string>();
+  const filled = new Set<string>();
   for (const { model, slot } of input.groups) {
-    if (slot !== undefined) taken.add(slotKey(model, slot));
+    if (slot !== undefined) filled.add(slotKey(model, slot));
   }
   const free = countFreeInstances(input);
-  return Object.values<ModelPlan>(input.models).flatMap((plan) => openOf(plan, taken, free, input));
+  return Object.values<ModelPlan>(input.models).flatMap((plan) =>
+    openSlotsOf(plan, filled, free, input),
+  );
 }
 
-function openOf(
+function openSlotsOf(
   plan: ModelPlan,
-  taken: ReadonlySet<string>,
+  filled: ReadonlySet<string>,
   free: ReadonlyMap<DomainId, number>,
   input: SlotsInput,
 ): readonly OpenSlot[] {
   if ((free.get(input.domain) ?? 0) < plan.membersPerReplica) return [];
-  const able = [...free].filter(([, count]) => count >= plan.membersPerReplica);
-  const candidates = hashCandidates(able.map(([id]) => ({ id })));
+  const eligible = [...free].filter(([, count]) => count >= plan.membersPerReplica);
+  const candidates = hashCandidates(eligible.map(([id]) => ({ id })));
   const slots = Array.from({ length: plan.replicas }, (_, slot) => slot);
   return slots
-    .filter((slot) => !taken.has(slotKey(plan.id, slot)))
+    .filter((slot) => !filled.has(slotKey(plan.id, slot)))
     .map((slot) => {
       const rank = rankOf(slotKey(plan.id, slot), input.domain, candidates);
       return { model: plan.id, slot, rank };
--- a/src/core/groups/types.ts
+++ b/src/core/groups/types.ts
@@ -1,4 +1,4 @@
-/** Replica groups and what is known of them. */
+/** Replica groups, their rows, and the reports of their engines. */
 
 import type {
   DomainId,
@@ -11,10 +11,10 @@
   ZoneId,
 } from '../ids';
 
-/** Life of a group, as its row says. */
+/** Lifecycle phase of a group, as stored in its row. */
 export type GroupPhase = 'forming' | 'serving' | 'draining' | 'dissolved';
 
-/** One member of a group; rank 0 takes the requests. */
+/** One member of a group; the one of rank 0 receives the requests. */
 export interface Member {
   readonly instance: InstanceId;
   readonly address: string;
@@ -33,20 +33,20 @@
   readonly slot?: number;
 }
 
-/** The row `slot/{model}/{n}`: the one group that fills a replica of a model. */
+/** The row `slot/{model}/{slot}`: the one group that fills a replica slot of a model. */
 export interface SlotRow {
   readonly model: ModelId;
   readonly slot: number;
   readonly group: GroupId;
 }
 
-/** A row with the version that the table gave it; version 0 stands for an absent row. */
+/** A row with the version that the table assigned; version 0 stands for an absent row. */
 export interface Versioned<R> {
   readonly version: number;
   readonly row: R;
 }
 
-/** What the platform's list says of an engine instance. */
+/** An engine instance as the platform lists it. */
 export interface InstanceInfo {
   readonly id: InstanceId;
   readonly address: string;
@@ -57,7 +57,7 @@
   readonly checksFencing: boolean;
 }
 
-/** The row `instance/{id}`: the one group that holds an instance. */
+/** The row `instance/{id}`: the one group that an instance belongs to. */
 export interface InstanceRow {
   readonly instance: InstanceId;
   readonly group?: GroupId;
@@ -65,12 +65,13 @@
   readonly fencing: FencingNumber;
 }
 
-/** What an engine says of itself. */
+/** State of an engine, as it reports it. */
 export type EngineState = 'idle' | 'loading' | 'serving' | 'draining' | 'broken';
 
+/** An engine's report about itself, in answer to a probe. */
 export interface EngineReport {
   readonly instance: InstanceId;
-  /** Changes when the engine process starts anew. */
+  /** Changes when the engine process restarts. */
   readonly incarnation: string;
   readonly state: EngineState;
   readonly group?: GroupId;
@@ -86,10 +87,10 @@
   readonly leaving: boolean;
 }
 
-/** A report and how long it counts. */
+/** A report and how long it is valid. */
 export interface Observation {
   readonly report: EngineReport;
-  /** After this the observation is no observation. */
+  /** From then on the report is stale and must not be used. */
   readonly freshUntil: MonoTime;
 }
 
@@ -102,7 +103,7 @@
   /** Address of the rank 0 member. */
   readonly address: string;
   readonly members: readonly Member[];
-  /** Requests it runs at a time. */
+  /** Requests that it runs concurrently. */
   readonly maxBatch: number;
   /** Until then, the observations of all its members are fresh. */
   readonly routableUntil: MonoTime;
