--- a/src/core/lease/lease.ts
+++ b/src/core/lease/lease.ts
@@ -1,14 +1,15 @@
 /**
- * The lease on one fabric domain, without agreement on clocks.
+ * The lease on one fabric domain; needs no synchronised clocks.
  *
- * The holder counts its validity from before it sent the renewal, less a margin. A taker waits the
- * full time, plus the margin, from when it first saw the present version of the row. Both use their
- * own monotonic clocks. After Gray and Cheriton, "Leases", 1989; fencing numbers keep out a holder
- * that was paused past its lease.
+ * The holder counts validity from before it sent the renewal, less a margin. A taker waits the
+ * full time, plus the margin, from when it first read the current version of the row. Both use
+ * their own monotonic clocks. After Gray and Cheriton, "Leases", 1989; fencing numbers exclude a
+ * holder that was paused past its lease.
  *
- * A table that came back from an older copy may have lost the lease of somebody who still holds it. The
- * holder takes it again at once, under a fencing number of the new era; everybody else, a process that has
- * just started too, waits the full time from when they first saw the new era. Each era has rows of its own.
+ * A table restored from an older copy may have lost the lease of a daemon that still holds it. The
+ * holder retakes it at once, under a fencing number of the new era; all others, including newly
+ * started processes, wait the full time from when they first saw the new era. Each era has its own
+ * rows.
  */
 
 import { later } from '../ids';
@@ -31,6 +32,7 @@
 
 type LeaseStep = Step<LeaseState, LeaseEffect>;
 
+/** Parameters of `createLease`; omitted settings take their defaults. */
 export interface LeaseOptions {
   readonly domain: DomainId;
   readonly self: DaemonId;
@@ -38,6 +40,7 @@
   readonly settings?: Partial<LeaseSettings>;
 }
 
+/** The initial state: no candidate for the lease, nothing read. */
 export function createLease(options: LeaseOptions, now: MonoTime): LeaseState {
   return {
     domain: options.domain,
@@ -56,28 +59,30 @@
 
 /** Whether this daemon may act for the domain at this instant. */
 export function isHolder({ held, pending, stopping }: LeaseState, now: MonoTime): boolean {
-  // Whoever sees the row handed back takes it, perhaps before the answer is here.
-  const isHandedBack = stopping || pending?.kind === 'release';
-  return held !== undefined && now < held.validUntil && !isHandedBack;
+  // A peer that reads the released row takes the lease, perhaps before the response arrives here.
+  const isReleased = stopping || pending?.kind === 'release';
+  return held !== undefined && now < held.validUntil && !isReleased;
 }
 
 function isOwn(state: LeaseState, row: LeaseRow | undefined): boolean {
   return row?.holder === state.self && row.session === state.session && !row.released;
 }
 
-/** Whether somebody may hold the lease under a row that a return of the table has lost. */
-function isOutdated({ era }: LeaseState, row: LeaseRow | undefined): boolean {
+/** Whether a daemon may still hold the lease by a row that was lost when the table was restored. */
+function mayHideLostLease({ era }: LeaseState, row: LeaseRow | undefined): boolean {
   return row ? !isOfEra(row.fencing, era) : era !== FIRST_ERA;
 }
 
 /**
- * When this candidate may take the lease; undefined while nothing is known of it. An earlier process of
- * its own id has ended: after all daemons were lost together, its lease need not run out first.
+ * When this candidate may take the lease; undefined before the first read. An earlier process with
+ * its own id has ended, so its lease need not expire first: that matters after all daemons were
+ * lost together.
  */
-function freeAt(state: LeaseState): MonoTime | undefined {
+function availableAt(state: LeaseState): MonoTime | undefined {
   const { seen, settings, self } = state;
   if (!seen) return undefined;
-  if (isOutdated(state, seen.row)) return later(seen.since, settings.ttlMs + settings.marginMs);
+  if (mayHideLostLease(state, seen.row))
+    return later(seen.since, settings.ttlMs + settings.marginMs);
   if (!seen.row || seen.row.released || seen.row.holder === self) return seen.since;
   return later(seen.since, seen.row.ttlMs + settings.marginMs);
 }
@@ -113,7 +118,7 @@
   );
 }
 
-/** Above all numbers of earlier eras, whose rows are lost, and of this one. */
+/** A fencing number above all of this era and of earlier ones, whose rows are lost. */
 function nextFencing(era: StoreEra, { fencing, row }: SeenLease): FencingNumber {
   return (Math.max(fencingFloor(era), fencing, row?.fencing ?? 0) + 1) as FencingNumber;
 }
@@ -136,54 +141,54 @@
   );
 }
 
-/** A peer ranked before this daemon for a while: let it have the lease, but offer it only once. */
+/** Whether to release the lease to a peer that ranks before this daemon; done once per rank. */
 function isHandoverDue(state: LeaseState, now: MonoTime): boolean {
   if (state.rank === 0 || state.hasOfferedHandover) return false;
   return now >= later(state.rankedAt, state.settings.handoverMs);
 }
 
-/** The table has lost the lease that is held here. */
-function takeAgain(state: LeaseState, now: MonoTime): LeaseStep {
+/** Takes the held lease again after the table lost it. */
+function retake(state: LeaseState, now: MonoTime): LeaseStep {
   if (!isHolder(state, now)) return next(withoutHeld(state));
   if (now < state.dueAt) return next(state);
-  const soon = { ...state, dueAt: later(now, state.settings.renewMs / 2) };
-  return state.seen ? take(state, now) : read(soon);
+  const delayed = { ...state, dueAt: later(now, state.settings.renewMs / 2) };
+  return state.seen ? take(state, now) : read(delayed);
 }
 
 function onTick(state: LeaseState, now: MonoTime): LeaseStep {
   if (state.pending) return next(state);
-  if (state.held && !isOfEra(state.held.fencing, state.era)) return takeAgain(state, now);
+  if (state.held && !isOfEra(state.held.fencing, state.era)) return retake(state, now);
   if (state.held) {
     if (state.stopping || isHandoverDue(state, now)) return renew(state, now, true);
     return now >= state.dueAt ? renew(state, now, false) : next(state);
   }
   if (state.stopping || !Number.isFinite(state.rank) || now < state.dueAt) return next(state);
-  return isTurn(state, now) ? take(state, now) : next(state);
+  return mayTake(state, now) ? take(state, now) : next(state);
 }
 
 /**
- * Whether this candidate may try now. After a time without the table all turns would have passed, and
- * all candidates of all domains would try at once: turns count from when the rows can be read again,
- * and while they cannot nobody but the last holder tries.
+ * Whether this candidate may try to take the lease now. After an outage of the table all rank
+ * delays would have passed, and all candidates of all domains would try at once. So delays count
+ * from when the rows can be read again, and until then only the last holder tries.
  */
-function isTurn(state: LeaseState, now: MonoTime): boolean {
-  const free = freeAt(state);
+function mayTake(state: LeaseState, now: MonoTime): boolean {
+  const availableSince = availableAt(state);
   const { contact, settings } = state;
-  if (free === undefined || !contact || now - contact.last > settings.ttlMs) return false;
-  return now >= later(max(free, contact.since), state.rank * settings.rankDelayMs);
+  if (availableSince === undefined || !contact || now - contact.last > settings.ttlMs) return false;
+  return now >= later(laterOf(availableSince, contact.since), state.rank * settings.rankDelayMs);
 }
 
-function max(a: MonoTime, b: MonoTime): MonoTime {
+function laterOf(a: MonoTime, b: MonoTime): MonoTime {
   return a > b ? a : b;
 }
 
-function inContact(state: LeaseState, now: MonoTime): LeaseState {
+function recordContact(state: LeaseState, now: MonoTime): LeaseState {
   const { contact, settings } = state;
   const isUnbroken = contact !== undefined && now - contact.last <= settings.ttlMs;
   return { ...state, contact: { since: isUnbroken ? contact.since : now, last: now } };
 }
 
-/** What was seen of the table's rows says nothing of them any more. */
+/** Enters a later era: rows read in an earlier one are discarded. */
 function onEra(state: LeaseState, era: StoreEra): LeaseState {
   if (era <= state.era) return state;
   return { ...omit(state, 'seen'), era };
@@ -196,9 +201,9 @@
 ): LeaseStep {
   const state = onEra(before, event.era ?? before.era);
   if (event.era !== undefined && event.era < state.era) return next({ ...state, reading: false });
-  const done: LeaseState = { ...inContact(state, now), reading: false };
+  const done: LeaseState = { ...recordContact(state, now), reading: false };
   const version = event.lease?.version ?? 0;
-  // An answer from before what is known already, or while a commit is on its way.
+  // The response is older than the known rows, or a commit is in flight.
   if (done.pending || (done.seen && version < done.seen.version)) return next(done);
   const seen = {
     version,
@@ -208,13 +213,13 @@
     since: done.seen?.version === version ? done.seen.since : now,
   };
   const isLost = done.held !== undefined && !isOfEra(done.held.fencing, done.era);
-  if (isLost && isOutdated(done, seen.row)) return next({ ...done, seen, dueAt: now });
-  if (!isOwn(done, seen.row) || isOutdated(done, seen.row)) {
+  if (isLost && mayHideLostLease(done, seen.row)) return next({ ...done, seen, dueAt: now });
+  if (!isOwn(done, seen.row) || mayHideLostLease(done, seen.row)) {
     return next(withoutHeld({ ...done, seen }));
   }
   if (done.seen?.version === version && done.held) return next({ ...done, seen });
-  // Our write took effect though its answer was lost. Which sending it was cannot be told, so the
-  // lease counts as lapsed until renewed.
+  // This daemon's write was applied but its response was lost. Which attempt it was is unknown, so
+  // the lease counts as expired until it is renewed.
   const held = {
     fencing: seen.fencing,
     fenceVersion: seen.fenceVersion,
@@ -243,7 +248,7 @@
     },
   };
   if (pending.kind === 'release') {
-    // Leave the others time to take it.
+    // Gives the others time to take it.
     const dueAt = later(now, settings.handoverMs);
     return next({ ...withoutHeld(after), dueAt, hasOfferedHandover: true });
   }
@@ -256,18 +261,18 @@
 function onRefused(state: LeaseState, conflict: boolean, now: MonoTime): LeaseStep {
   const after = withoutPending(state);
   if (state.pending && state.pending.era !== state.era) return read(after);
-  // A take with the versions that were refused would be refused again.
+  // Taking the lease with the refused versions would be refused again.
   if (conflict) return read({ ...omit(withoutHeld(after), 'seen'), dueAt: now });
   return next({ ...after, dueAt: later(now, state.settings.renewMs / 2) });
 }
 
-/** The hand-over delay runs from when this daemon stopped being the first choice. */
+/** The hand-over delay counts from when this daemon ceased to be the preferred candidate. */
 function onRanked(state: LeaseState, rank: number, now: MonoTime): LeaseState {
   const rankedAt = state.rank > 0 && rank > 0 ? state.rankedAt : now;
   return { ...state, rank, rankedAt, hasOfferedHandover: false };
 }
 
-/** The lease on one domain. Effects: reads and commits of its two rows. */
+/** The reducer of the lease on one domain. Effects: reads and commits of its two rows. */
 export const reduceLease = createReducer<LeaseState, LeaseEvent, LeaseEffect>({
   read: (state, event, { now }) => onRead(state, event, now),
   'read-failed': (state) => next({ ...state, reading: false }),
--- a/src/core/lease/types.ts
+++ b/src/core/lease/types.ts
@@ -3,15 +3,15 @@
 import type { DaemonId, DomainId, FencingNumber, MonoTime } from '../ids';
 import type { StoreEra } from '../store-era';
 
-/** The row `lease/{domain}`; written anew, unchanged, at each renewal. */
+/** The row `lease/{domain}`; each renewal writes it again, unchanged. */
 export interface LeaseRow {
   readonly holder: DaemonId;
-  /** Chosen at the holder's start: a restarted process with the same id is another holder. */
+  /** Chosen when the holder starts: a restarted process with the same id is another holder. */
   readonly session: string;
   readonly fencing: FencingNumber;
-  /** How long others wait after first seeing a version of this row, milliseconds. */
+  /** How long others wait after they first read a version of this row, milliseconds. */
   readonly ttlMs: number;
-  /** Handed back: the next holder need not wait. */
+  /** Released by its holder: the next one need not wait. */
   readonly released: boolean;
 }
 
@@ -23,17 +23,19 @@
   readonly fencing: FencingNumber;
 }
 
+/** Times in milliseconds. */
 export interface LeaseSettings {
   readonly ttlMs: number;
-  /** Taken off the holder's validity and added to the taker's wait: bounds clock drift. */
+  /** Shortens the holder's validity and extends the taker's wait, to allow for clock drift. */
   readonly marginMs: number;
   readonly renewMs: number;
-  /** How much later each further candidate tries for a free lease. */
+  /** Delay per rank before a candidate tries to take a free lease. */
   readonly rankDelayMs: number;
-  /** How long a better-placed peer must stay so before the lease is handed to it. */
+  /** How long a peer must rank before the holder until the lease is handed over. */
   readonly handoverMs: number;
 }
 
+/** Default settings. */
 export const LEASE_SETTINGS: LeaseSettings = {
   ttlMs: 10_000,
   marginMs: 1_000,
@@ -42,7 +44,7 @@
   handoverMs: 15_000,
 };
 
-/** The rows as last read. `since` is when this daemon first saw this version. */
+/** The rows as last read. `since` is when this daemon first read this version. */
 export interface SeenLease {
   readonly version: number;
   readonly row?: LeaseRow;
@@ -51,60 +53,63 @@
   readonly since: MonoTime;
 }
 
-/** The lease as its holder knows it. It may act only before `validUntil`. */
+/** The lease as its holder knows it; the holder may act only before `validUntil`. */
 export interface HeldLease {
   readonly fencing: FencingNumber;
   readonly fenceVersion: number;
   readonly validUntil: MonoTime;
 }
 
-/** A commit whose result is not known yet. */
+/** A commit whose result is not yet known. */
 export interface PendingCommit {
   readonly kind: 'take' | 'renew' | 'release';
   readonly sentAt: MonoTime;
-  /** Its conditions are versions of this era: in another one they may hold by chance. */
+  /** The era of the versions in its conditions; in another era they may match by chance. */
   readonly era: StoreEra;
   readonly row: LeaseRow;
 }
 
-/** An unbroken run of reads of the table. */
+/** The first and latest of a run of reads without a gap longer than `ttlMs`. */
 export interface TableContact {
   readonly since: MonoTime;
   readonly last: MonoTime;
 }
 
+/** The lease on one domain as one daemon knows it. */
 export interface LeaseState {
   readonly domain: DomainId;
   readonly self: DaemonId;
   readonly session: string;
   readonly settings: LeaseSettings;
-  /** Place among the candidates; 0 is the first choice, Infinity none. */
+  /** Rank among the candidates: 0 is the preferred one, Infinity is no candidate. */
   readonly rank: number;
   readonly rankedAt: MonoTime;
-  /** Already handed back once for a better-placed peer, of this ranking. */
+  /** Whether it was already released once, under this rank, for a peer that ranks before it. */
   readonly hasOfferedHandover: boolean;
   readonly stopping: boolean;
   readonly reading: boolean;
-  /** The newest era of the table that is known here. */
+  /** The newest known era of the table. */
   readonly era: StoreEra;
   readonly seen?: SeenLease;
-  /** When the rows were last read, and since when without a long gap. */
+  /** Absent before the first read of the rows. */
   readonly contact?: TableContact;
   readonly held?: HeldLease;
   readonly pending?: PendingCommit;
-  /** Next renewal, or next try after a failed one. */
+  /** When to renew next, or to retry after a failed commit. */
   readonly dueAt: MonoTime;
 }
 
+/** The fence row as last read. */
 export interface SeenFence {
   readonly version: number;
   readonly row: FenceRow;
 }
 
+/** Inputs of `reduceLease`. */
 export type LeaseEvent =
   | {
       readonly kind: 'read';
-      /** Of the rows; the newest one known where it is left out. */
+      /** The era of the rows; default: the newest known one. */
       readonly era?: StoreEra;
       readonly lease?: { readonly version: number; readonly row: LeaseRow };
       readonly fence?: SeenFence;
@@ -112,23 +117,24 @@
   | { readonly kind: 'read-failed' }
   | { readonly kind: 'ranked'; readonly rank: number }
   | { readonly kind: 'tick' }
-  /** The table is of this era. To be told before the result of a call that showed it. */
+  /** The table is in this era. Must precede the result of the call that showed it. */
   | { readonly kind: 'era'; readonly era: StoreEra }
   | { readonly kind: 'committed'; readonly version: number; readonly fenceVersion: number }
-  /** Nothing was written; `conflict` when the rows had moved on. */
+  /** Nothing was written; `conflict` if the rows had other versions. */
   | { readonly kind: 'refused'; readonly conflict: boolean }
-  /** No one can tell whether it was written. */
+  /** Whether the commit was written is unknown. */
   | { readonly kind: 'unsure' }
   | { readonly kind: 'stop' };
 
+/** Actions that `reduceLease` asks for. */
 export type LeaseEffect =
   | { readonly kind: 'read' }
   | {
       readonly kind: 'commit';
-      /** Names the rows: a write that arrives in a later era must not touch those of that era. */
+      /** Part of the keys: a write that arrives in a later era must not affect that era's rows. */
       readonly era: StoreEra;
       readonly row: LeaseRow;
       readonly leaseVersion: number;
-      /** Present when the lease changes hands: the fence row is written too. */
+      /** Present if the lease changes hands: then the fence row is written too. */
       readonly fenceVersion?: number;
     };
