--- a/src/core/membership/dissemination.ts
+++ b/src/core/membership/dissemination.ts
@@ -1,4 +1,4 @@
-/** Takes entries in and passes news on: rumour spreading with a bounded number of sends. */
+/** Receives entries and disseminates new ones: rumour spreading with a bounded number of sends. */
 
 import type { DaemonId } from '../ids';
 import { next } from '../reducer';
@@ -11,17 +11,17 @@
 
 /** Rumours are packed into messages of about this size. */
 const MAX_MESSAGE_BYTES = 8000;
-/** A daemon that has met a new one compares its entries after about this long. */
+/** A daemon that learns of a new one compares entries with a neighbour after about this long. */
 const GROWTH_SYNC_MS = 300;
-/** Least time between two answers to another process that claims this daemon's id. */
-const DUPLICATE_PAUSE_MS = 5000;
+/** Least interval between refutations of another process that claims this daemon's id. */
+const REFUTE_INTERVAL_MS = 5000;
 
-/** Whether anything but the state of suspicion changed between two records of a member. */
-function movesNeighbours(before: MemberRecord | undefined, after: MemberRecord): boolean {
+/** Whether a member joined, died or returned between two records: neighbours may change. */
+function changesPresence(before: MemberRecord | undefined, after: MemberRecord): boolean {
   return !before || isPresent(before) !== isPresent(after);
 }
 
-/** Few daemons need few sends each: about log2 of their number, and one. */
+/** Sends per daemon that reach all members: about log2 of their number, plus one. */
 function sendsFor(members: number, limit: number): number {
   return Math.min(limit, Math.ceil(Math.log2(members + 1)) + 1);
 }
@@ -31,25 +31,25 @@
   return { sendsRemaining: sends, bytes: entryBytes(entry), sentTo };
 }
 
-/** Suspects get time to speak up; whoever is no suspect any more is struck off. */
-function noteSuspect(
+/** Sets the deadline by which a suspect must refute; removes one that is no longer suspect. */
+function trackSuspect(
   state: MembershipState,
   member: MemberRecord,
   ctx: MembershipContext,
 ): MembershipState {
   const suspects = new Map(state.suspects);
-  if (member.state === 'suspect') suspects.set(member.id, suspicionEnd(state, ctx));
+  if (member.state === 'suspect') suspects.set(member.id, suspicionDeadline(state, ctx));
   else suspects.delete(member.id);
   return { ...state, suspects };
 }
 
-function suspicionEnd(state: MembershipState, ctx: MembershipContext): typeof ctx.now {
+function suspicionDeadline(state: MembershipState, ctx: MembershipContext): typeof ctx.now {
   const scale = Math.max(1, Math.log10(state.members.size));
   return (ctx.now + ctx.settings.suspectTimeoutMs * scale) as typeof ctx.now;
 }
 
-/** Whoever learns of a new daemon may lack more: its rumours were sized for fewer daemons. */
-function soonerSync(state: MembershipState, ctx: MembershipContext): typeof ctx.now {
+/** The time of an early comparison: rumours sized for fewer daemons may not have arrived here. */
+function earlierSyncAt(state: MembershipState, ctx: MembershipContext): typeof ctx.now {
   const soon = ctx.now + GROWTH_SYNC_MS * (0.5 + ctx.random.next());
   return Math.min(state.syncAt, soon) as typeof ctx.now;
 }
@@ -61,12 +61,12 @@
 ): MembershipState {
   const before = state.members.get(member.id);
   const members = new Map(state.members).set(member.id, member);
-  const syncAt = before ? state.syncAt : soonerSync(state, ctx);
-  const put = noteSuspect({ ...state, members, syncAt }, member, ctx);
-  return movesNeighbours(before, member) ? withNeighbours(put, ctx.settings.neighbours) : put;
+  const syncAt = before ? state.syncAt : earlierSyncAt(state, ctx);
+  const put = trackSuspect({ ...state, members, syncAt }, member, ctx);
+  return changesPresence(before, member) ? withNeighbours(put, ctx.settings.neighbours) : put;
 }
 
-/** Puts one entry that is news; it is passed on from now on. */
+/** Stores one new entry and starts to disseminate it. */
 function putEntry(
   state: MembershipState,
   entry: Entry,
@@ -83,11 +83,11 @@
     return next(putMember(put, member, ctx), { kind: 'members-changed' });
   }
   if (entry.origin !== state.self.id) return next(put, { kind: 'received', entry });
-  // From an earlier life of this daemon: its own entries must get higher versions.
+  // An entry of an earlier process of this daemon: its own entries must get higher versions.
   return next({ ...put, lastVersion: Math.max(put.lastVersion, entry.version) });
 }
 
-/** Announces this daemon anew, above whatever is said of it. */
+/** Announces this daemon with a higher incarnation, which overrides what others say of it. */
 export function announce(
   state: MembershipState,
   change: Partial<Pick<MemberRecord, 'state' | 'incarnation' | 'configVersion'>>,
@@ -99,7 +99,7 @@
   return putEntry({ ...state, self, announceAt }, memberEntry(self), undefined, ctx);
 }
 
-/** Someone says something of this daemon that it has not said: it speaks up. */
+/** Refutes a newer record of this daemon that it has not announced itself. */
 function refute(
   state: MembershipState,
   entry: Entry,
@@ -109,17 +109,17 @@
   const own = memberVersion(state.self.incarnation, state.self.state);
   if (entry.version <= own) return unchanged(state);
   const incarnation = Math.max(claim.incarnation, state.self.incarnation) + 1;
-  const speakUp = (): MembershipStep => announce(state, { incarnation }, ctx);
-  if (claim.state !== 'alive' || claim.address === state.self.address) return speakUp();
+  const reannounce = (): MembershipStep => announce(state, { incarnation }, ctx);
+  if (claim.state !== 'alive' || claim.address === state.self.address) return reannounce();
   if (ctx.now < state.refuteAt) return unchanged(state);
-  const refuteAt = (ctx.now + DUPLICATE_PAUSE_MS) as typeof ctx.now;
-  const alarm: MembershipEffect = { kind: 'duplicate-id', address: claim.address };
-  const spoken = speakUp();
-  return next({ ...spoken.state, refuteAt }, alarm, ...spoken.effects);
+  const refuteAt = (ctx.now + REFUTE_INTERVAL_MS) as typeof ctx.now;
+  const duplicateId: MembershipEffect = { kind: 'duplicate-id', address: claim.address };
+  const announced = reannounce();
+  return next({ ...announced.state, refuteAt }, duplicateId, ...announced.effects);
 }
 
-/** An entry that came again has been spread by others: it needs fewer sends from here. */
-function heardAgain(state: MembershipState, entry: Entry, from: DaemonId): MembershipState {
+/** An entry received again was sent on by others: it needs fewer sends from here. */
+function noteDuplicate(state: MembershipState, entry: Entry, from: DaemonId): MembershipState {
   const id = entryId(entry);
   const rumour = state.rumours.get(id);
   if (rumour === undefined || state.entries.get(id)?.version !== entry.version) return state;
@@ -132,7 +132,7 @@
   return { ...state, rumours };
 }
 
-function takeEntry(
+function handleEntry(
   state: MembershipState,
   entry: Entry,
   from: DaemonId,
@@ -142,24 +142,24 @@
     const claim = parseMember(entry);
     return claim ? refute(state, entry, claim, ctx) : unchanged(state);
   }
-  if (!isNewer(state.entries, entry, ctx.epoch)) return next(heardAgain(state, entry, from));
+  if (!isNewer(state.entries, entry, ctx.epoch)) return next(noteDuplicate(state, entry, from));
   return putEntry(state, entry, from, ctx);
 }
 
-/** Takes in entries from a peer and passes on at once what is news. */
+/** Handles entries from a peer and sends the new ones on at once. */
 export function handleEntries(
   state: MembershipState,
   entries: readonly Entry[],
   from: DaemonId,
   ctx: MembershipContext,
 ): MembershipStep {
-  const takes = entries.map(
-    (entry) => (current: MembershipState) => takeEntry(current, entry, from, ctx),
+  const steps = entries.map(
+    (entry) => (current: MembershipState) => handleEntry(current, entry, from, ctx),
   );
-  return chain(state, ...takes, (current) => flush(current, ctx));
+  return chain(state, ...steps, (current) => flush(current, ctx));
 }
 
-/** Puts an entry made here and passes it on at once. */
+/** Stores an entry created here and sends it on at once. */
 export function broadcast(
   state: MembershipState,
   entry: Entry,
@@ -172,19 +172,19 @@
   );
 }
 
-interface Parcel {
+interface Batch {
   readonly ids: readonly string[];
   readonly bytes: number;
 }
 
-/** The rumours that `target` may not have, the least spread ones first, as many as fit. */
-function packFor(state: MembershipState, target: DaemonId, budget: number): Parcel {
-  const fresh = [...state.rumours]
+/** The rumours that `target` may lack, least disseminated first, as many as fit. */
+function packFor(state: MembershipState, target: DaemonId, budget: number): Batch {
+  const unsent = [...state.rumours]
     .filter(([, rumour]) => rumour.sendsRemaining > 0 && !rumour.sentTo.has(target))
     .sort(([, a], [, b]) => b.sendsRemaining - a.sendsRemaining);
   const ids: string[] = [];
   let bytes = 0;
-  for (const [id, rumour] of fresh) {
+  for (const [id, rumour] of unsent) {
     const fits = bytes + rumour.bytes <= Math.min(budget, MAX_MESSAGE_BYTES);
     if (!fits && ids.length > 0) break;
     ids.push(id);
@@ -219,23 +219,23 @@
   return next(spent, send(address, { kind: 'entries', entries }));
 }
 
-/** Ends rumours that were sent often enough or that every neighbour has. */
+/** Removes rumours that were sent often enough or that every neighbour has. */
 function endRumours(state: MembershipState): MembershipState {
-  const live = [...state.rumours].filter(
+  const active = [...state.rumours].filter(
     ([id, rumour]) =>
       rumour.sendsRemaining > 0 &&
       state.entries.has(id) &&
       state.neighbours.some((neighbour) => !rumour.sentTo.has(neighbour)),
   );
-  return live.length === state.rumours.size ? state : { ...state, rumours: new Map(live) };
+  return active.length === state.rumours.size ? state : { ...state, rumours: new Map(active) };
 }
 
-/** Passes rumours on to a few neighbours, within the limit of bytes. */
+/** Sends rumours to a few neighbours, within the byte limit. */
 export function flush(state: MembershipState, ctx: MembershipContext): MembershipStep {
   if (state.rumours.size === 0 || state.neighbours.length === 0) return unchanged(state);
   const bucket = refill(state.bucket, ctx.settings, ctx.now);
   const targets = sample(state.neighbours, ctx.settings.fanOut, ctx.random);
-  const sends = targets.map((target) => (current: MembershipState) => sendRumours(current, target));
-  const done = chain({ ...state, bucket }, ...sends);
+  const steps = targets.map((target) => (current: MembershipState) => sendRumours(current, target));
+  const done = chain({ ...state, bucket }, ...steps);
   return { ...done, state: endRumours(done.state) };
 }
--- a/src/core/membership/hash.ts
+++ b/src/core/membership/hash.ts
@@ -1,5 +1,6 @@
-/** Cheap 32-bit hashes; not for secrets. */
+/** Fast non-cryptographic 32-bit hashes. */
 
+/** The offset basis of FNV-1a: the usual `seed` of `hashText`. */
 export const FNV_OFFSET = 0x811c9dc5;
 const FNV_PRIME = 0x01000193;
 
--- a/src/core/membership/members.ts
+++ b/src/core/membership/members.ts
@@ -1,4 +1,4 @@
-/** Members as entries: states and incarnations ordered by one version number. */
+/** Members as gossip entries; one version number orders incarnations and states. */
 
 import * as z from 'zod';
 
@@ -7,9 +7,10 @@
 import { MEMBER_STATES } from './types';
 import type { Entry, MemberRecord, MemberState } from './types';
 
+/** Topic of the entries of members. */
 export const MEMBER_TOPIC = 'member';
 
-const FOREVER = brandAs<EpochTime>(Number.MAX_SAFE_INTEGER);
+const NEVER = brandAs<EpochTime>(Number.MAX_SAFE_INTEGER);
 
 const valueSchema = z.object({
   address: z.string().min(1),
@@ -22,12 +23,13 @@
     .transform((n) => brandAs<ConfigVersion>(n)),
 });
 
-/** Orders by incarnation, then by state: the dead stay dead until they raise their incarnation. */
+/** Orders by incarnation, then by state: a dead member stays dead until it raises its incarnation. */
 export function memberVersion(incarnation: number, state: MemberState): number {
   return incarnation * MEMBER_STATES.length + MEMBER_STATES.indexOf(state);
 }
 
-export function memberEntry(record: MemberRecord, expiresAt: EpochTime = FOREVER): Entry {
+/** The entry of a member; by default it never expires. */
+export function memberEntry(record: MemberRecord, expiresAt: EpochTime = NEVER): Entry {
   const { id, ...value } = record;
   return {
     topic: MEMBER_TOPIC,
@@ -39,17 +41,17 @@
   };
 }
 
-/** The entry that says that a member has fallen to `state` in its present incarnation. */
+/** The entry of a member that has failed to `state` in its current incarnation. */
 export function failedMemberEntry(
   record: MemberRecord,
   state: MemberState,
   epoch: EpochTime,
   ttlMs: number,
 ): Entry {
-  return memberEntry({ ...record, state }, state === 'dead' ? later(epoch, ttlMs) : FOREVER);
+  return memberEntry({ ...record, state }, state === 'dead' ? later(epoch, ttlMs) : NEVER);
 }
 
-/** The member that an entry tells of; undefined if the entry is not in order. */
+/** The member that an entry describes; undefined if the entry is malformed. */
 export function parseMember(entry: Entry): MemberRecord | undefined {
   const parsed = valueSchema.safeParse(entry.value);
   if (!parsed.success || entry.origin !== entry.key) return undefined;
@@ -57,6 +59,7 @@
   return memberVersion(record.incarnation, record.state) === entry.version ? record : undefined;
 }
 
+/** Whether the member is not dead. */
 export function isPresent(record: MemberRecord): boolean {
   return record.state !== 'dead';
 }
--- a/src/core/membership/membership.ts
+++ b/src/core/membership/membership.ts
@@ -1,4 +1,4 @@
-/** Membership of daemons as one reducer. */
+/** The reducer of daemon membership: failure detection, gossip and anti-entropy. */
 
 import type { ConfigVersion } from '../ids';
 import { brandAs } from '../ids';
@@ -61,7 +61,7 @@
   want: (state, { address }, message, ctx) => handleWant(state, address, message, ctx),
 };
 
-function takeMessage(
+function handleMessage(
   state: MembershipState,
   event: Extract<MembershipEvent, { kind: 'message' }>,
   ctx: MembershipContext,
@@ -70,11 +70,11 @@
   return handler(state, event, event.message as never, ctx);
 }
 
-function notePause(state: MembershipState, ctx: MembershipContext): MembershipStep {
+function detectPause(state: MembershipState, ctx: MembershipContext): MembershipStep {
   const gapMs = ctx.now - state.lastTick;
   const ticked = { ...state, lastTick: ctx.now };
   if (gapMs <= ctx.settings.pauseThresholdMs) return next(ticked);
-  // What was told meanwhile is fetched at once.
+  // Fetches at once what was gossiped during the pause.
   return next({ ...resetAfterPause(ticked, gapMs), probeAt: ctx.now, syncAt: ctx.now });
 }
 
@@ -89,7 +89,7 @@
 function tick(state: MembershipState, ctx: MembershipContext): MembershipStep {
   return chain(
     state,
-    (current) => notePause(current, ctx),
+    (current) => detectPause(current, ctx),
     (current) => next(sweepExpired(current, ctx)),
     (current) => checkProbe(current, ctx),
     (current) => expireRelayedProbes(current, ctx),
@@ -108,7 +108,7 @@
   ctx: MembershipContext,
 ): MembershipStep {
   const { topic, key, value, expiresAt } = event;
-  // Above every version of an earlier life, as long as clocks do not go back further than it lasted.
+  // Above all versions of an earlier process, unless the clock went back further than it ran.
   const version = Math.max(Math.floor(ctx.epoch), state.lastVersion + 1);
   const entry: Entry = { topic, key, origin: state.self.id, version, value, expiresAt };
   return broadcast({ ...state, lastVersion: version }, entry, ctx);
@@ -118,15 +118,15 @@
   if (state.self.state === 'leaving') return unchanged(state);
   const announced = announce(state, { state: 'leaving' }, ctx);
   const entries = [memberEntry(announced.state.self)];
-  // The last words go to all neighbours, whatever the limit of bytes says.
-  const words: MembershipEffect[] = state.neighbours.flatMap((id) => {
+  // The announcement goes to all neighbours at once, regardless of the byte limit.
+  const announcements: MembershipEffect[] = state.neighbours.flatMap((id) => {
     const address = state.members.get(id)?.address;
     return address === undefined ? [] : [send(address, { kind: 'entries', entries })];
   });
-  return next(announced.state, ...announced.effects, ...words);
+  return next(announced.state, ...announced.effects, ...announcements);
 }
 
-/** Takes in what happens and says what to do; see `types.ts`. */
+/** Handles one event; events and effects are described in `types.ts`. */
 export const reduceMembership = createReducer<
   MembershipState,
   MembershipEvent,
@@ -134,7 +134,7 @@
   MembershipContext
 >({
   tick: (state, _, ctx) => tick(state, ctx),
-  message: takeMessage,
+  message: handleMessage,
   unreachable: (state, { address }, ctx) => handleUnreachable(state, address, ctx),
   candidates: (state, { addresses }) => next({ ...state, candidates: addresses }),
   publish,
--- a/src/core/membership/state.ts
+++ b/src/core/membership/state.ts
@@ -1,4 +1,4 @@
-/** The state of membership on one daemon, and small questions about it. */
+/** The membership state of one daemon, and helpers on it. */
 
 import type { ConfigVersion, DaemonId, EpochTime, MonoTime, ZoneId } from '../ids';
 import { brandAs } from '../ids';
@@ -18,35 +18,36 @@
   Message,
 } from './types';
 
-/** An entry that is still being passed on. */
+/** An entry that this daemon still sends on to neighbours. */
 export interface Rumour {
   readonly sendsRemaining: number;
   readonly bytes: number;
   readonly sentTo: ReadonlySet<DaemonId>;
 }
 
-/** The probe whose answer is awaited. */
+/** A probe whose answer is pending. */
 export interface Probe {
   readonly target: DaemonId;
   readonly address: string;
   readonly seq: number;
-  /** The direct answer is awaited until then. */
+  /** Deadline of the direct answer; then the probe is relayed. */
   readonly directUntil: MonoTime;
-  /** Any answer is awaited until then. */
+  /** Deadline of any answer. */
   readonly until: MonoTime;
   readonly relayed: boolean;
-  /** Another daemon has not reached the target either. */
+  /** Whether another daemon has not reached the target either. */
   readonly confirmed: boolean;
 }
 
-/** A probe done for another daemon. */
+/** A probe made for another daemon; `seq` is this daemon's number, `requesterSeq` the other's. */
 export interface RelayedProbe {
   readonly seq: number;
-  readonly askedBy: string;
-  readonly askedSeq: number;
+  readonly requester: string;
+  readonly requesterSeq: number;
   readonly until: MonoTime;
 }
 
+/** What one daemon knows of the others, and what it has in flight. */
 export interface MembershipState {
   readonly self: MemberRecord;
   readonly entries: EntryStore;
@@ -55,22 +56,22 @@
   readonly neighbours: readonly DaemonId[];
   readonly rumours: ReadonlyMap<string, Rumour>;
   readonly suspects: ReadonlyMap<DaemonId, MonoTime>;
-  /** Probes in a row without an answer and without another daemon's confirmation. */
-  readonly doubts: ReadonlyMap<DaemonId, number>;
+  /** By target: consecutive unanswered probes without another daemon's confirmation. */
+  readonly unconfirmedFailures: ReadonlyMap<DaemonId, number>;
   readonly probe: Probe | undefined;
   readonly relayed: readonly RelayedProbe[];
   readonly candidates: readonly string[];
-  /** Bounds rumours and direct messages. */
+  /** Limits rumours and direct messages. */
   readonly bucket: TokenBucket;
-  /** Bounds comparisons, which rumours must not starve, nor they rumours. */
+  /** Limits comparisons, separately: neither they nor rumours may starve the other. */
   readonly syncBucket: TokenBucket;
-  /** The configuration version in force here; announced with some delay. */
+  /** The configuration version in force here; announced with a delay. */
   readonly configVersion: ConfigVersion;
-  /** Highest version given to an own entry. */
+  /** Highest version assigned to an entry of this daemon. */
   readonly lastVersion: number;
   readonly seq: number;
-  /** Whose turn it is among the neighbours. */
-  readonly turn: number;
+  /** Index of the neighbour probed last. */
+  readonly neighbourIndex: number;
   readonly lastTick: MonoTime;
   readonly probeAt: MonoTime;
   readonly syncAt: MonoTime;
@@ -79,16 +80,17 @@
   readonly refuteAt: MonoTime;
 }
 
+/** The result of one step. */
 export type MembershipStep = Step<MembershipState, MembershipEffect>;
 
-/** Who a daemon is. */
+/** Identity and address of a daemon. */
 export interface Identity {
   readonly id: DaemonId;
   readonly address: string;
   readonly zone: ZoneId;
 }
 
-/** A daemon that knows only itself. Its incarnation is the instant of its start. */
+/** The state of a daemon that knows only itself. Its incarnation is its start time. */
 export function createMembershipState(
   identity: Identity,
   settings: MembershipSettings,
@@ -108,7 +110,7 @@
     neighbours: [],
     rumours: new Map(),
     suspects: new Map(),
-    doubts: new Map(),
+    unconfirmedFailures: new Map(),
     probe: undefined,
     relayed: [],
     candidates: [],
@@ -117,7 +119,7 @@
     configVersion: self.configVersion,
     lastVersion: 0,
     seq: 0,
-    turn: 0,
+    neighbourIndex: 0,
     lastTick: now,
     probeAt: now,
     syncAt: now,
@@ -127,7 +129,7 @@
   };
 }
 
-/** Runs steps one after the other and gathers their effects. */
+/** Runs steps in sequence and concatenates their effects. */
 export function chain(
   state: MembershipState,
   ...steps: readonly ((state: MembershipState) => MembershipStep)[]
@@ -142,28 +144,30 @@
   return { state: current, effects };
 }
 
+/** The effect that sends a message. */
 export function send(address: string, message: Message): MembershipEffect {
   return { kind: 'send', address, message };
 }
 
+/** A step without changes or effects. */
 export function unchanged(state: MembershipState): MembershipStep {
   return next(state);
 }
 
-/** Members other than this daemon that are not dead. */
+/** All members that are not dead, except this daemon. */
 export function presentOthers(state: MembershipState): readonly MemberRecord[] {
   return [...state.members.values()].filter(
     (member) => isPresent(member) && member.id !== state.self.id,
   );
 }
 
-/** Chooses the neighbours anew; to be done whenever members come or go. */
+/** Recomputes the neighbours; required whenever members join or leave. */
 export function withNeighbours(state: MembershipState, count: number): MembershipState {
   const ids = presentOthers(state).map((member) => member.id);
   return { ...state, neighbours: rankByRendezvous(state.self.id, ids).slice(0, count) };
 }
 
-/** Up to `count` of `items`, each subset equally likely. */
+/** A uniformly random subset of up to `count` items. */
 export function sample<T>(
   items: readonly T[],
   count: number,
--- a/src/core/membership/sync.ts
+++ b/src/core/membership/sync.ts
@@ -1,6 +1,6 @@
 /**
- * Anti-entropy: compares entries with a neighbour now and then, and with daemons that are missing,
- * so that what rumours have not reached, and what a partition kept apart, comes together.
+ * Anti-entropy: compares entries with a neighbour periodically, and with missing daemons, so that
+ * stores converge where rumours were lost or a partition separated daemons.
  */
 
 import type { DaemonId, EpochTime } from '../ids';
@@ -21,15 +21,15 @@
 import type { BucketLimits } from './token-bucket';
 import type { DigestMessage, Entry, LinesMessage, MembershipContext, WantMessage } from './types';
 
-/** Differences found at once that call for another comparison soon. */
-const FAR_BEHIND = 16;
-const SOON_MS = 300;
+/** With this many entries missing here, the next comparison follows after `NEXT_SYNC_MS`. */
+const MANY_MISSING = 16;
+const NEXT_SYNC_MS = 300;
 const DIGEST_BYTES = 350;
 const LINE_BYTES = 14;
-const MAX_PARCEL_BYTES = 16_000;
+const MAX_MESSAGE_BYTES = 16_000;
 /**
- * A digest is answered only while this much may be sent: otherwise many newcomers would have their
- * digests answered, and none the entries that it asks for next.
+ * A digest is answered only while this much may be sent. Otherwise, with many new daemons, all of
+ * their digests would be answered and none of the requests for entries that follow.
  */
 const RESERVE_BYTES = 8000;
 const SALT_RANGE = 2 ** 32;
@@ -48,7 +48,7 @@
   return { ...state, syncBucket: spend(syncBucket, bytes) };
 }
 
-/** Compares with a neighbour when it is time and the limit of bytes allows. */
+/** Starts a comparison with a random neighbour if one is due and the byte limit allows it. */
 export function syncNext(state: MembershipState, ctx: MembershipContext): MembershipStep {
   if (ctx.now < state.syncAt) return unchanged(state);
   const syncAt = later(ctx.now, ctx.settings.syncIntervalMs * (0.5 + ctx.random.next()));
@@ -60,7 +60,7 @@
   return next(charged, send(address, newDigest(state, ctx)));
 }
 
-/** Addresses at which a daemon may be that is not known to be present. */
+/** Addresses at which a daemon may run that is not known to be present. */
 function missingAddresses(state: MembershipState): readonly string[] {
   const present = new Set(presentOthers(state).map((member) => member.address));
   present.add(state.self.address);
@@ -69,18 +69,18 @@
   return [...all].filter((address) => !present.has(address));
 }
 
-/** Introduces this daemon where another may be: a start, a return, a healed partition. */
+/** Contacts addresses of missing daemons: at start, after a return or a healed partition. */
 export function rejoinNext(state: MembershipState, ctx: MembershipContext): MembershipStep {
   if (ctx.now < state.rejoinAt) return unchanged(state);
   const rejoinAt = later(ctx.now, ctx.settings.rejoinIntervalMs * (0.5 + ctx.random.next()));
-  // While alone, several at once: the first may be the one that is gone.
+  // Several at once while it has no neighbours: any single one may be down.
   const count = state.neighbours.length === 0 ? ctx.settings.fanOut : 1;
   const addresses = sample(missingAddresses(state), count, ctx.random);
-  const effects = addresses.flatMap((address) => introduce(state, address, ctx));
+  const effects = addresses.flatMap((address) => introduceTo(state, address, ctx));
   return next({ ...state, rejoinAt }, ...effects);
 }
 
-function introduce(
+function introduceTo(
   state: MembershipState,
   address: string,
   ctx: MembershipContext,
@@ -104,7 +104,10 @@
   return next(charge(state, lines.ids.length * LINE_BYTES, ctx), send(address, lines));
 }
 
-function fit(entries: readonly Entry[], budget: number): { entries: Entry[]; bytes: number } {
+function takeFitting(
+  entries: readonly Entry[],
+  budget: number,
+): { entries: Entry[]; bytes: number } {
   const fitting: Entry[] = [];
   let bytes = 0;
   for (const entry of entries) {
@@ -116,7 +119,7 @@
   return { entries: fitting, bytes };
 }
 
-/** Sends entries as far as the limit of bytes goes; the rest waits for the next comparison. */
+/** Sends entries up to the byte limit; the rest is left to the next comparison. */
 function sendEntries(
   state: MembershipState,
   address: string,
@@ -125,31 +128,32 @@
 ): MembershipStep {
   const { tokens } = refill(state.syncBucket, syncLimits(ctx), ctx.now);
   if (entries.length === 0 || tokens <= 0) return unchanged(state);
-  // Members first: without them nobody can be reached.
+  // Members first: without their addresses no daemon can be reached.
   const ordered = [...entries].sort(
     (a, b) => Number(b.topic === MEMBER_TOPIC) - Number(a.topic === MEMBER_TOPIC),
   );
-  const parcel = fit(ordered, Math.min(tokens, MAX_PARCEL_BYTES));
-  const message = { kind: 'entries', entries: parcel.entries } as const;
-  return next(charge(state, parcel.bytes, ctx), send(address, message));
+  const batch = takeFitting(ordered, Math.min(tokens, MAX_MESSAGE_BYTES));
+  const message = { kind: 'entries', entries: batch.entries } as const;
+  return next(charge(state, batch.bytes, ctx), send(address, message));
 }
 
-/** Sends what the other lacks and asks for what this daemon lacks. */
+/** Sends the entries that the other daemon lacks and requests those missing here. */
 export function handleLines(
   state: MembershipState,
   address: string,
   lines: LinesMessage,
   ctx: MembershipContext,
 ): MembershipStep {
-  const { theirs, ours } = compareLines(state.entries, lines, ctx.epoch);
-  const behind = ours.length >= FAR_BEHIND;
-  const syncAt = behind ? later(ctx.now, SOON_MS) : state.syncAt;
-  const sent = sendEntries({ ...state, syncAt }, address, theirs, ctx);
-  if (ours.length === 0) return sent;
-  const want = send(address, { kind: 'want', salt: lines.salt, ids: ours });
-  return next(charge(sent.state, ours.length * LINE_BYTES, ctx), ...sent.effects, want);
+  const { missingThere, missingHere } = compareLines(state.entries, lines, ctx.epoch);
+  const isBehind = missingHere.length >= MANY_MISSING;
+  const syncAt = isBehind ? later(ctx.now, NEXT_SYNC_MS) : state.syncAt;
+  const sent = sendEntries({ ...state, syncAt }, address, missingThere, ctx);
+  if (missingHere.length === 0) return sent;
+  const want = send(address, { kind: 'want', salt: lines.salt, ids: missingHere });
+  return next(charge(sent.state, missingHere.length * LINE_BYTES, ctx), ...sent.effects, want);
 }
 
+/** Sends the requested entries. */
 export function handleWant(
   state: MembershipState,
   address: string,
@@ -160,7 +164,7 @@
   return sendEntries(state, address, entries, ctx);
 }
 
-/** A sender that is unknown here gets a comparison; one believed gone hears what is said of it. */
+/** Starts a comparison with an unknown sender; sends a suspect or dead one its record to refute. */
 export function syncSender(
   state: MembershipState,
   from: DaemonId,
@@ -170,15 +174,15 @@
   const member = state.members.get(from);
   if (!member) return next(state, send(address, newDigest(state, ctx)));
   if (member.state !== 'suspect' && member.state !== 'dead') return unchanged(state);
-  const entries = [memberEntry(member, deadEnd(member.state, ctx))];
+  const entries = [memberEntry(member, expiryOf(member.state, ctx))];
   return next(state, send(address, { kind: 'entries', entries }));
 }
 
-function deadEnd(state: string, ctx: MembershipContext): EpochTime | undefined {
+function expiryOf(state: string, ctx: MembershipContext): EpochTime | undefined {
   return state === 'dead' ? later(ctx.epoch, ctx.settings.deadTtlMs) : undefined;
 }
 
-/** Forgets entries that have expired, and the dead with them. */
+/** Removes expired entries, and dead members with them. */
 export function sweepExpired(state: MembershipState, ctx: MembershipContext): MembershipState {
   const entries = sweep(state.entries, ctx.epoch);
   if (entries === state.entries) return state;
--- a/src/core/membership/types.ts
+++ b/src/core/membership/types.ts
@@ -1,25 +1,26 @@
-/** Types of membership: entries that daemons gossip, messages, events and effects. */
+/** Types of daemon membership: gossiped entries, messages, settings, events and effects. */
 
 import type { ConfigVersion, DaemonId, EpochTime, MonoTime, ZoneId } from '../ids';
 import type { Json } from '../json';
 import type { StepContext } from '../reducer';
 
-/** A fact that one daemon tells all; the highest version of a topic, key and origin counts. */
+/** A value that one daemon gossips to all; of a topic, key and origin the highest version wins. */
 export interface Entry {
   readonly topic: string;
   readonly key: string;
   readonly origin: DaemonId;
   readonly version: number;
   readonly value: Json;
-  /** Forgotten after this. */
+  /** Removed from then on. */
   readonly expiresAt: EpochTime;
 }
 
 /** Later states override earlier ones of the same incarnation. */
 export const MEMBER_STATES = ['alive', 'suspect', 'leaving', 'dead'] as const;
+/** What a member's newest entry says of its liveness. */
 export type MemberState = (typeof MEMBER_STATES)[number];
 
-/** One daemon as its newest entry tells. Only the daemon itself raises its incarnation. */
+/** One daemon as in its newest entry. Only the daemon itself raises its incarnation. */
 export interface MemberRecord {
   readonly id: DaemonId;
   readonly address: string;
@@ -29,19 +30,19 @@
   readonly configVersion: ConfigVersion;
 }
 
-/** Are you there? */
+/** Asks the receiver for an ack. */
 export interface ProbeMessage {
   readonly kind: 'probe';
   readonly seq: number;
 }
 
-/** Here, or there: the daemon asked about by `seq` has answered. */
+/** Answers a probe, or says that the target of the relayed probe `seq` has answered. */
 export interface AckMessage {
   readonly kind: 'ack';
   readonly seq: number;
 }
 
-/** The daemon asked about by `seq` has not answered the receiver either. */
+/** Says that the target of the relayed probe `seq` has not answered the sender either. */
 export interface NackMessage {
   readonly kind: 'nack';
   readonly seq: number;
@@ -54,15 +55,16 @@
   readonly target: string;
 }
 
+/** Entries that are new to the receiver, as far as the sender knows. */
 export interface EntriesMessage {
   readonly kind: 'entries';
   readonly entries: readonly Entry[];
 }
 
-/** One number a bucket of entries; equal numbers mean equal entries. */
+/** One hash per bucket of entries; equal hashes mean equal entries. */
 export interface DigestMessage {
   readonly kind: 'digest';
-  /** Another one each time, so that no two entries are taken for each other twice. */
+  /** Differs in each digest, so that a hash collision does not recur. */
   readonly salt: number;
   readonly buckets: readonly number[];
 }
@@ -76,13 +78,14 @@
   readonly versions: readonly number[];
 }
 
-/** Asks for the entries with these salted ids. */
+/** Requests the entries with these salted ids. */
 export interface WantMessage {
   readonly kind: 'want';
   readonly salt: number;
   readonly ids: readonly number[];
 }
 
+/** Messages between the membership parts of daemons. */
 export type Message =
   | ProbeMessage
   | AckMessage
@@ -93,40 +96,41 @@
   | LinesMessage
   | WantMessage;
 
-/** Times in milliseconds. */
+/** Settings of membership and gossip; times in milliseconds. */
 export interface MembershipSettings {
-  /** Each daemon probes one neighbour in this time. */
+  /** Interval at which each daemon probes one neighbour. */
   readonly probeIntervalMs: number;
-  /** A probe without an answer for this long is tried through others. */
+  /** A probe that is unanswered for this long is relayed through other daemons. */
   readonly probeTimeoutMs: number;
-  /** Others asked to probe. */
+  /** Daemons asked to relay a probe. */
   readonly relays: number;
-  /** A suspect that does not speak up for this long is dead; grows with the number of daemons. */
+  /** A suspect that does not refute this long is dead; scaled up with the number of daemons. */
   readonly suspectTimeoutMs: number;
-  /** Daemons that one probes and gossips with. */
+  /** Daemons that each one probes and gossips with. */
   readonly neighbours: number;
-  /** Neighbours told at once of something new, and per tick afterwards. */
+  /** Neighbours that new entries are sent to at once, and on each later tick. */
   readonly fanOut: number;
-  /** Times that one daemon passes an entry on, at most. */
+  /** Most times that one daemon sends an entry on. */
   readonly maxSends: number;
-  /** Period of the comparison with a neighbour. */
+  /** Mean interval between comparisons with a neighbour. */
   readonly syncIntervalMs: number;
-  /** Period at which a daemon that is missing is tried. */
+  /** Mean interval between attempts to reach a missing daemon. */
   readonly rejoinIntervalMs: number;
-  /** Least time between own announcements, for each daemon known. */
+  /** Least time between a daemon's own announcements, per known daemon. */
   readonly announceIntervalMsPerDaemon: number;
-  /** Ticks further apart than this mean that the process was paused. */
+  /** A longer gap between ticks means that the process was paused. */
   readonly pauseThresholdMs: number;
-  /** The dead are remembered this long. */
+  /** How long dead members are remembered. */
   readonly deadTtlMs: number;
-  /** Limit of rumours and direct messages, bytes a second, and what may be sent at once. */
+  /** Limit on rumours and direct messages: bytes per second, and the burst. */
   readonly bytesPerSecond: number;
   readonly burstBytes: number;
-  /** The same for comparisons. */
+  /** The same limit on comparisons. */
   readonly syncBytesPerSecond: number;
   readonly syncBurstBytes: number;
 }
 
+/** Default settings. */
 export const MEMBERSHIP_DEFAULTS: MembershipSettings = {
   probeIntervalMs: 1000,
   probeTimeoutMs: 300,
@@ -146,7 +150,7 @@
   syncBurstBytes: 32_000,
 };
 
-/** What a step may know besides state and event. */
+/** Inputs of a step besides state and event. */
 export interface MembershipContext extends StepContext {
   readonly now: MonoTime;
   readonly epoch: EpochTime;
@@ -154,6 +158,7 @@
   readonly settings: MembershipSettings;
 }
 
+/** Inputs of `reduceMembership`. */
 export type MembershipEvent =
   | { readonly kind: 'tick' }
   | {
@@ -162,9 +167,9 @@
       readonly address: string;
       readonly message: Message;
     }
-  /** No link to the address could be made, or the one there was broke. */
+  /** Connecting to the address failed, or its connection broke. */
   | { readonly kind: 'unreachable'; readonly address: string }
-  /** Where daemons may be, from settings and the instance list. */
+  /** Addresses where daemons may run, from the settings and the instance list. */
   | { readonly kind: 'candidates'; readonly addresses: readonly string[] }
   | {
       readonly kind: 'publish';
@@ -174,15 +179,16 @@
       readonly expiresAt: EpochTime;
     }
   | { readonly kind: 'config-version'; readonly version: ConfigVersion }
-  /** Bytes sent beside gossip, which count against its limit. */
+  /** Bytes sent besides gossip, which count against its limit. */
   | { readonly kind: 'spent'; readonly bytes: number }
   | { readonly kind: 'leave' };
 
+/** Actions that `reduceMembership` asks for. */
 export type MembershipEffect =
   | { readonly kind: 'send'; readonly address: string; readonly message: Message }
-  /** Breaks a link that does not answer, so that the next message makes a new one. */
+  /** Closes an unresponsive connection, so that the next message opens a new one. */
   | { readonly kind: 'drop'; readonly address: string }
   | { readonly kind: 'received'; readonly entry: Entry }
   | { readonly kind: 'members-changed' }
-  /** Another process uses this daemon's id. */
+  /** Another process, at this address, uses this daemon's id. */
   | { readonly kind: 'duplicate-id'; readonly address: string };
