--- a/src/core/ids.ts
+++ b/src/core/ids.ts
@@ -1,13 +1,13 @@
-/** Branded ids and instants. A brand costs nothing at run time and keeps ids apart at compile time. */
+/** Branded ids and instants: distinct types at compile time, without cost at run time. */
 
 declare const brand: unique symbol;
 
-/** A `T` that only a named constructor makes. */
+/** A `T` that only a cast or `brandAs` creates. */
 export type Brand<T, B extends string> = T & { readonly [brand]: B };
 
 export type OrganisationId = Brand<string, 'OrganisationId'>;
 export type InstanceId = Brand<string, 'InstanceId'>;
-/** What a backend server calls itself, in each of its lives. */
+/** The name that a backend server gives itself; the same after each restart. */
 export type ServerName = Brand<string, 'ServerName'>;
 export type DomainId = Brand<string, 'DomainId'>;
 export type ZoneId = Brand<string, 'ZoneId'>;
@@ -18,20 +18,20 @@
 export type RequestId = Brand<string, 'RequestId'>;
 export type AttemptId = Brand<string, 'AttemptId'>;
 export type ChangeId = Brand<string, 'ChangeId'>;
-/** Hash of organisation, model and body: the same request sent again has the same one. */
+/** Hash of organisation, model and body: equal for the same request sent again. */
 export type Fingerprint = Brand<string, 'Fingerprint'>;
-/** Grows each time a group's members change. */
+/** Increases each time a group's members change. */
 export type Epoch = Brand<number, 'Epoch'>;
-/** Grows each time a lease changes hands. */
+/** Increases each time a lease changes hands. */
 export type FencingNumber = Brand<number, 'FencingNumber'>;
-/** Grows by one with each accepted configuration. */
+/** Increases by one with each accepted configuration. */
 export type ConfigVersion = Brand<number, 'ConfigVersion'>;
 /** Milliseconds on this process's monotonic clock; never leaves the process. */
 export type MonoTime = Brand<number, 'MonoTime'>;
-/** Milliseconds since the Unix epoch; what goes over the wire and into rows. */
+/** Milliseconds since the Unix epoch; used on the wire and in rows. */
 export type EpochTime = Brand<number, 'EpochTime'>;
 
-/** Brands a checked value. The one place where a plain value becomes an id. */
+/** Brands a validated value: the usual way in which a plain value becomes an id. */
 export function brandAs<T extends Brand<string | number, string>>(
   value: T extends string ? string : number,
 ): T {
--- a/src/core/reducer.ts
+++ b/src/core/reducer.ts
@@ -1,20 +1,20 @@
-/** The one shape of a decision: state and event in, state and effects out. */
+/** Reducers: each step takes a state and an event, and returns the next state and effects. */
 
 import type { MonoTime } from './ids';
 
-/** What a step may know besides its state and its event. */
+/** Inputs of a step besides its state and its event. */
 export interface StepContext {
-  /** Now, on the monotonic clock of the process that decides. */
+  /** Now, on this process's monotonic clock. */
   readonly now: MonoTime;
 }
 
-/** The outcome of one step. */
+/** The result of one step. */
 export interface Step<S, Fx> {
   readonly state: S;
   readonly effects: readonly Fx[];
 }
 
-/** Anything with a `kind` to look a handler up by. */
+/** A variant of a discriminated union; `kind` selects its handler. */
 export interface Kinded {
   readonly kind: string;
 }
@@ -24,14 +24,14 @@
   readonly [K in Ev['kind']]: (state: S, event: Extract<Ev, { kind: K }>, ctx: Ctx) => Step<S, Fx>;
 };
 
-/** A whole subsystem as one function. */
+/** A subsystem as one pure function. */
 export type Reducer<S, Ev extends Kinded, Fx, Ctx extends StepContext = StepContext> = (
   state: S,
   event: Ev,
   ctx: Ctx,
 ) => Step<S, Fx>;
 
-/** Makes a reducer from its table of handlers. */
+/** Creates a reducer from a table of handlers. */
 export function createReducer<S, Ev extends Kinded, Fx, Ctx extends StepContext = StepContext>(
   handlers: HandlerTable<S, Ev, Fx, Ctx>,
 ): Reducer<S, Ev, Fx, Ctx> {
@@ -45,7 +45,7 @@
   };
 }
 
-/** A step that changes the state and asks for `effects`. */
+/** The step that results in `state` and requests `effects`. */
 export function next<S, Fx>(state: S, ...effects: readonly Fx[]): Step<S, Fx> {
   return { state, effects };
 }
