--- a/tests/fuzz/groups/commands.ts
+++ b/tests/fuzz/groups/commands.ts
@@ -1,4 +1,4 @@
-/** Faults and repairs that the fuzzer strings together, each followed by some time. */
+/** Commands of the fuzzer: faults and repairs, each followed by some simulated time. */
 
 import fc from 'fast-check';
 
@@ -7,10 +7,10 @@
 import { configOf, modelSpec } from '../../support/control-world';
 import type { FakeDaemon, World } from '../../support/control-world';
 
-/** Nothing is modelled: the oracle judges every step by itself. */
+/** Empty: the oracle checks the system itself after every step. */
 export type Model = object;
 type Step = fc.AsyncCommand<Model, World>;
-type Act = (world: World, pick: number) => void | Promise<void>;
+type Action = (world: World, pick: number) => void | Promise<void>;
 
 export function engineAt(world: World, pick: number): FakeEngine | undefined {
   const all = [...world.engines.values()];
@@ -21,14 +21,14 @@
   return world.daemons[pick % world.daemons.length];
 }
 
-function onEngine(change: (engine: FakeEngine, world: World) => void): Act {
+function onEngine(change: (engine: FakeEngine, world: World) => void): Action {
   return (world, pick) => {
     const engine = engineAt(world, pick);
     if (engine) change(engine, world);
   };
 }
 
-function onDaemon(change: (daemon: FakeDaemon, world: World) => void): Act {
+function onDaemon(change: (daemon: FakeDaemon, world: World) => void): Action {
   return (world, pick) => {
     const daemon = daemonAt(world, pick);
     if (daemon) change(daemon, world);
@@ -45,7 +45,7 @@
 
 let replacements = 0;
 
-/** An instance that left gives way to a new one in its domain. */
+/** Replaces an instance by a new one in its domain. */
 function replaceInstance(engine: FakeEngine, world: World): void {
   const entry = world.listed.get(engine.id);
   if (entry?.domain === undefined) return;
@@ -55,7 +55,7 @@
   world.addEngine(`new${replacements}`, entry.domain, { checksFencing: engine.checksFencing });
 }
 
-export const ACTS: Readonly<Record<string, Act>> = {
+export const ACTIONS: Readonly<Record<string, Action>> = {
   wait: () => undefined,
   'freeze engine': onEngine((engine) => {
     engine.up = false;
@@ -148,15 +148,15 @@
   );
 }
 
-/** Long enough for leases to lapse now and then, short enough to hit things half done. */
+/** Long enough for leases to expire sometimes, short enough to interrupt operations in progress. */
 const WAITS_MS = [100, 300, 1_000, 3_000, 12_000] as const;
 
 export function commandArbitraries(): fc.Arbitrary<Step>[] {
-  return Object.entries(ACTS).map(([name, act]) =>
+  return Object.entries(ACTIONS).map(([name, action]) =>
     fc.tuple(fc.nat({ max: 11 }), fc.constantFrom(...WAITS_MS)).map(([pick, waitMs]) => ({
       check: () => true,
       run: async (_model: Model, world: World) => {
-        await act(world, pick);
+        await action(world, pick);
         await world.advance(waitMs);
       },
       toString: () => `${name} (${pick}), ${waitMs} ms`,
--- a/tests/fuzz/groups/groups.ts
+++ b/tests/fuzz/groups/groups.ts
@@ -1,4 +1,4 @@
-/** Stateful fuzzing of the control plane over in-memory ports, against the engines' records. */
+/** Stateful fuzzing of the control plane over in-memory ports, checked against engine records. */
 
 import { setImmediate } from 'node:timers/promises';
 import fc from 'fast-check';
@@ -6,7 +6,7 @@
 import { restart } from '../../support/control-engine';
 import { createWorld } from '../../support/control-world';
 import type { World } from '../../support/control-world';
-import { ACTS, commandArbitraries, fullConfig } from './commands';
+import { ACTIONS, commandArbitraries, fullConfig } from './commands';
 import { createOracle } from './oracle';
 import type { FuzzOptions } from '../options';
 
@@ -18,7 +18,7 @@
 const DAEMONS = 3;
 const ENGINES = 6;
 const START_MS = 15_000;
-/** A lapsed lease, a domain's silence, a drain, a load and the retries of each. */
+/** Covers an expired lease, an unresponsive domain, a drain, a load and the retries of each. */
 const RECOVERY_MS = 240_000;
 
 async function start(): Promise<World> {
@@ -41,7 +41,7 @@
   return world;
 }
 
-/** All faults end; what is wanted must then serve again, on every daemon. */
+/** Ends all faults; every daemon must then route to all configured replicas again. */
 async function recover(world: World): Promise<void> {
   world.flushLate();
   Object.assign(world.table, { down: false, lostAnswers: 0, lateCommits: 0 });
@@ -53,20 +53,21 @@
   }
   for (const engine of [...world.engines.values()]) {
     if (!engine.up) restart(engine, world.now());
-    const at = [...world.engines.keys()].indexOf(engine.id);
-    if (engine.leaving) await ACTS['replace instance']?.(world, at);
+    const pick = [...world.engines.keys()].indexOf(engine.id);
+    if (engine.leaving) await ACTIONS['replace instance']?.(world, pick);
   }
   await world.advance(RECOVERY_MS);
   for (const model of ['m', 'n']) {
-    const wanted = fullConfig().models[model]?.replicas;
+    const expected = fullConfig().models[model]?.replicas;
     for (const { id, control } of world.daemons) {
-      const found = control.routable(model as never).length;
-      if (found !== wanted) throw new Error(`${id} has ${found} groups of ${model} in the end`);
+      const routable = control.routable(model as never).length;
+      if (routable !== expected)
+        throw new Error(`${id} routes to ${routable} groups of ${model} after recovery`);
     }
   }
 }
 
-/** Throws with the seed and the shrunk history should a check fail. */
+/** Runs the fuzzer; throws with the seed and the shrunk command history if a check fails. */
 export async function fuzzGroups({
   seed,
   runs,
@@ -75,7 +76,7 @@
   const histories = fc.commands(commandArbitraries(), { maxCommands });
   await fc.assert(
     fc.asyncProperty(histories, async (commands) => {
-      // All time is injected, so nothing else would let the test runner's own messages through.
+      // Time is injected, so without this the test runner's own messages would not be processed.
       await setImmediate();
       const real = await start();
       await fc.asyncModelRun(() => ({ model: {}, real }), commands);
--- a/tests/lease-start.test.ts
+++ b/tests/lease-start.test.ts
@@ -16,22 +16,22 @@
 }
 
 /** A read that shows no lease. */
-function nothing(era: number): LeaseEvent {
+function noLease(era: number): LeaseEvent {
   return { kind: 'read', era: era as StoreEra };
 }
 
 describe('a process that starts while the store shows no lease', () => {
-  it('waits for as long as a lease lasts where the store has come back from a copy', () => {
-    const first = drive(started(5_000), 5_000, nothing(2), TICK);
+  it('waits for the duration of a lease if the store was restored from a copy', () => {
+    const first = drive(started(5_000), 5_000, noLease(2), TICK);
     expect(first.effects).toEqual([]);
-    const still = drive(first.state, 7_100, nothing(2), TICK);
+    const still = drive(first.state, 7_100, noLease(2), TICK);
     expect(still.effects).toEqual([]);
     const { effects } = drive(still.state, 7_200, TICK);
     expect(effects).toMatchObject([{ kind: 'commit', row: { holder: 'c' } }]);
   });
 
-  it('does not wait where the store has never come back', () => {
-    const { effects } = drive(started(5_000), 5_000, nothing(0), TICK);
+  it('does not wait if the store was never restored', () => {
+    const { effects } = drive(started(5_000), 5_000, noLease(0), TICK);
     expect(effects).toMatchObject([{ kind: 'commit', row: { holder: 'c', fencing: 1 } }]);
   });
 });
--- a/tests/lease.test.ts
+++ b/tests/lease.test.ts
@@ -23,7 +23,7 @@
   return { kind: 'read', lease: { version, row }, fence };
 }
 
-/** A holder whose renewal was sent at 0 and answered at `answeredAt`. */
+/** A holder that sent its commit at 0 and got the answer at `answeredAt`. */
 function holder(answeredAt = 0): LeaseState {
   const sent = drive(candidate(), 0, { kind: 'read' }, { kind: 'tick' });
   return drive(sent.state, answeredAt, { kind: 'committed', version: 5, fenceVersion: 5 }).state;
@@ -32,7 +32,7 @@
 const TICK: LeaseEvent = { kind: 'tick' };
 
 describe('holder of a lease', () => {
-  it('takes an absent lease with both rows absent as conditions', () => {
+  it('takes an absent lease on condition that both rows are absent', () => {
     const { effects } = drive(candidate(), 0, { kind: 'read' }, TICK);
     expect(effects).toMatchObject([
       { kind: 'commit', leaseVersion: 0, fenceVersion: 0, row: { holder: 'a', fencing: 1 } },
@@ -45,9 +45,9 @@
     expect(isHolder(state, 9_000 as MonoTime)).toBe(false);
   });
 
-  it('does not act between handing the lease back and the answer, nor where that is lost', () => {
-    const eager = { ...holder(), settings: { ...holder().settings, handoverMs: 1_000 } };
-    const outranked = drive(eager, 100, { kind: 'ranked', rank: 1 });
+  it('does not act between releasing the lease and the response, nor if that is lost', () => {
+    const shortHandover = { ...holder(), settings: { ...holder().settings, handoverMs: 1_000 } };
+    const outranked = drive(shortHandover, 100, { kind: 'ranked', rank: 1 });
     const { state, effects } = drive(outranked.state, 1_200, TICK);
     expect(effects).toMatchObject([{ kind: 'commit', row: { released: true } }]);
     expect(isHolder(outranked.state, 1_200 as MonoTime)).toBe(true);
@@ -58,13 +58,13 @@
     expect(isHolder(refused.state, 1_300 as MonoTime)).toBe(true);
   });
 
-  it('renews without touching the fence row', () => {
+  it('renews without writing the fence row', () => {
     const { effects } = drive(holder(), 2_500, TICK);
     expect(effects).toMatchObject([{ kind: 'commit', leaseVersion: 5 }]);
     expect(effects[0]).not.toHaveProperty('fenceVersion');
   });
 
-  it('may not act after a pause past its lease, and learns that another took it', () => {
+  it('may not act after a pause past its lease, and detects that another took it', () => {
     const paused = drive(holder(), 60_000, TICK);
     expect(isHolder(paused.state, 60_000 as MonoTime)).toBe(false);
     const told = drive(paused.state, 60_000, { kind: 'refused', conflict: true });
@@ -74,14 +74,14 @@
     expect(after.effects).toEqual([]);
   });
 
-  it('goes on from a lapsed lease that nobody took once a renewal commits', () => {
+  it('holds an expired lease that nobody took again once a renewal commits', () => {
     const late = drive(holder(), 60_000, TICK);
     const after = drive(late.state, 60_010, { kind: 'committed', version: 6, fenceVersion: 0 });
     expect(isHolder(after.state, 60_010 as MonoTime)).toBe(true);
     expect(after.state.held?.fencing).toBe(1);
   });
 
-  it('reads back after a lost answer and counts as lapsed until it has renewed', () => {
+  it('reads the rows back after a lost response and may not act until it has renewed', () => {
     const sent = drive(candidate(), 0, { kind: 'read' }, TICK);
     const lost = drive(sent.state, 9_500, { kind: 'unsure' });
     expect(lost.effects).toEqual([{ kind: 'read' }]);
@@ -93,23 +93,23 @@
     expect(isHolder(after.state, 9_800 as MonoTime)).toBe(true);
   });
 
-  it('takes no row of an earlier process of the same id for its own', () => {
+  it('does not treat a row of an earlier process with the same id as its own', () => {
     const restarted = drive(candidate(), 0, seen(5, rowOf('a', { session: 'a0' })), TICK);
     expect(restarted.state.held).toBeUndefined();
-    // It takes the lease anew, under a greater fencing number, and holds it only once that is written.
+    // It takes the lease under a higher fencing number, and holds it only once that is committed.
     expect(restarted.effects).toMatchObject([
       { kind: 'commit', leaseVersion: 5, row: { holder: 'a', session: 'a1', fencing: 2 } },
     ]);
     expect(restarted.effects).toHaveLength(1);
   });
 
-  it('hands back at stop', () => {
+  it('releases the lease at stop', () => {
     const { effects, state } = drive(holder(), 100, { kind: 'stop' });
     expect(effects).toMatchObject([{ kind: 'commit', row: { released: true, fencing: 1 } }]);
     expect(isHolder(state, 100 as MonoTime)).toBe(false);
   });
 
-  it('hands over to a better-placed peer only after that stayed so', () => {
+  it('releases the lease for a peer that ranks before it only after the hand-over delay', () => {
     const ranked = drive(holder(), 1_000, { kind: 'ranked', rank: 1 }).state;
     expect(drive(ranked, 2_500, TICK).effects).toMatchObject([{ row: { released: false } }]);
     expect(drive(ranked, 16_000, TICK).effects).toMatchObject([{ row: { released: true } }]);
@@ -122,7 +122,7 @@
     expect(effects).toMatchObject([{ kind: 'commit', leaseVersion: 3, row: { fencing: 2 } }]);
   });
 
-  it('waits the full time from when it first saw the present version', () => {
+  it('waits the full time from when it first read the current version', () => {
     const seenFirst = drive(candidate('b'), 5_000, seen(5, rowOf('a'))).state;
     const first = drive(seenFirst, 10_000, seen(5, rowOf('a'))).state;
     expect(drive(first, 15_900, seen(5, rowOf('a')), TICK).effects).toEqual([]);
@@ -131,7 +131,7 @@
     ]);
   });
 
-  it('begins to wait anew with each renewal', () => {
+  it('restarts its wait at each renewal', () => {
     const first = drive(candidate('b'), 0, seen(5, rowOf('a'))).state;
     const renewed = drive(first, 10_000, seen(6, rowOf('a'))).state;
     const same = seen(6, rowOf('a'));
@@ -141,7 +141,7 @@
     expect(drive(waited, 21_000, TICK).effects).toHaveLength(1);
   });
 
-  it('takes a released lease at once, later candidates a little later', () => {
+  it('takes a released lease at once, later candidates after their rank delay', () => {
     const released = seen(5, rowOf('a', { released: true }));
     expect(drive(candidate('b'), 100, released, TICK).effects).toHaveLength(1);
     const second = drive(candidate('c', 1), 100, released, TICK);
@@ -149,12 +149,12 @@
     expect(drive(second.state, 2_100, TICK).effects).toHaveLength(1);
   });
 
-  it('does not try as long as it is no candidate', () => {
+  it('does not try while it is not a candidate', () => {
     const out = drive(candidate('b', Infinity), 0, { kind: 'read' }, TICK);
     expect(out.effects).toEqual([]);
   });
 
-  it('passes over an answer older than what it knows', () => {
+  it('ignores a response that is older than the known rows', () => {
     const known = drive(candidate('b'), 0, seen(6, rowOf('a'))).state;
     expect(drive(known, 5_000, seen(5, rowOf('a'))).state.seen).toMatchObject({
       version: 6,
@@ -169,7 +169,7 @@
     expect(lost.state.pending).toBeUndefined();
   });
 
-  it('sends nothing more after a lost race until it has read the rows', () => {
+  it('sends no commit after a lost race until it has read the rows', () => {
     const sent = drive(candidate('b'), 0, { kind: 'read' }, TICK);
     const lost = drive(sent.state, 10, { kind: 'refused', conflict: true }, TICK, TICK);
     expect(lost.effects).toEqual([{ kind: 'read' }]);
@@ -177,19 +177,19 @@
     expect(known.effects).toMatchObject([{ kind: 'commit', leaseVersion: 5 }]);
   });
 
-  it('tries again, later, when the table is down', () => {
+  it('retries after a delay when the table is unavailable', () => {
     const sent = drive(candidate('b'), 0, { kind: 'read' }, TICK);
     const down = drive(sent.state, 10, { kind: 'refused', conflict: false }, TICK);
     expect(down.effects).toEqual([]);
     expect(drive(down.state, 2_000, TICK).effects).toMatchObject([{ kind: 'commit' }]);
   });
 
-  it('tries nothing while it cannot read the rows', () => {
+  it('sends no commit while it cannot read the rows', () => {
     const known = drive(candidate('b'), 0, seen(5, rowOf('a'))).state;
     expect(drive(known, 600_000, TICK).effects).toEqual([]);
   });
 
-  it('counts its turn from when it can read again after a time without the table', () => {
+  it('counts its rank delay from when it can read again after an outage of the table', () => {
     const known = drive(candidate('c', 2), 0, seen(5, rowOf('a'))).state;
     const again = drive(known, 600_000, seen(5, rowOf('a')), TICK);
     expect(again.effects).toEqual([]);
--- a/tests/membership-backoff.test.ts
+++ b/tests/membership-backoff.test.ts
@@ -6,7 +6,7 @@
 
 const ADDRESS = '10.0.0.1:1';
 
-/** Delays before the dials that follow `failures` failures in a row. */
+/** The delay before each dial that follows one of `failures` consecutive failures. */
 function delaysOf(failures: number, seed: number): number[] {
   let now = 0;
   const clock = { now: () => now as MonoTime, epoch: () => 0 as EpochTime };
@@ -20,7 +20,7 @@
 }
 
 describe('delays between dials', () => {
-  it('grow up to a limit, each somewhere in the upper half', () => {
+  it('grow up to a limit, each randomised within its upper half', () => {
     for (let seed = 1; seed < 50; seed += 1) {
       const delays = delaysOf(8, seed);
       delays.forEach((delay, i) => {
@@ -35,7 +35,7 @@
     expect(delaysOf(3, 1)).not.toEqual(delaysOf(3, 2));
   });
 
-  it('begin anew after a success, and hold back no other address', () => {
+  it('reset after a success, and do not affect other addresses', () => {
     const clock = { now: () => 0 as MonoTime, epoch: () => 0 as EpochTime };
     const backoff = createBackoff({ firstMs: 100, longestMs: 2000 }, clock, createRandom(1));
     backoff.noteFailure(ADDRESS);
--- a/tests/membership-detection.test.ts
+++ b/tests/membership-detection.test.ts
@@ -5,7 +5,7 @@
 
 const TICKS_PER_SECOND = 5;
 const JOIN_TICKS = 50;
-/** Daemons that all know from the start, where many are started at once. */
+/** Seed daemons that all others know from the start. */
 const SEEDS = 3;
 
 let world: MembershipWorld;
@@ -15,21 +15,21 @@
   run(world, JOIN_TICKS, 0);
 });
 
-/** What node `viewer` believes of node `index`. */
-function belief(viewer: number, index: number): string {
+/** The state of node `index` as node `viewer` knows it. */
+function stateSeenBy(viewer: number, index: number): string {
   const state = world.nodes[viewer]?.state;
   const id = world.nodes[index]?.id;
   return (id && state?.members.get(id)?.state) ?? 'unknown';
 }
 
-/** What the others believe of node `index`, each belief once. */
-function beliefs(index: number): string[] {
+/** The distinct states of node `index` as the others know it. */
+function statesSeen(index: number): string[] {
   const viewers = world.nodes.flatMap((node, i) => (i === index || !node.state ? [] : [i]));
-  return [...new Set(viewers.map((viewer) => belief(viewer, index)))];
+  return [...new Set(viewers.map((viewer) => stateSeenBy(viewer, index)))];
 }
 
-function everyBelief(): string[] {
-  return [...new Set(world.nodes.flatMap((_, i) => beliefs(i)))];
+function allStatesSeen(): string[] {
+  return [...new Set(world.nodes.flatMap((_, i) => statesSeen(i)))];
 }
 
 describe('daemons that are all started at once', () => {
@@ -57,89 +57,89 @@
   it('is dead to all others within eight seconds', () => {
     kill(world, 0);
     run(world, 8 * TICKS_PER_SECOND, 0);
-    expect(beliefs(0)).toEqual(['dead']);
-    expect(beliefs(1)).toEqual(['alive']);
+    expect(statesSeen(0)).toEqual(['dead']);
+    expect(statesSeen(1)).toEqual(['alive']);
   });
 
-  it('is suspected before it is given up', () => {
+  it('is suspected before it is declared dead', () => {
     kill(world, 0);
     const seen = new Set<string>();
     for (let tick = 0; tick < 8 * TICKS_PER_SECOND; tick += 1) {
       run(world, 1, 0);
-      for (const state of beliefs(0)) seen.add(state);
+      for (const state of statesSeen(0)) seen.add(state);
     }
     expect([...seen]).toEqual(['alive', 'suspect', 'dead']);
   });
 });
 
 describe('a daemon that is paused', () => {
-  it('is taken back when it resumes, and holds its own pause against nobody', () => {
+  it('is alive again when it resumes, and does not suspect others because of its own pause', () => {
     pause(world, 0);
     run(world, 20 * TICKS_PER_SECOND, 0);
-    expect(beliefs(0)).toEqual(['dead']);
+    expect(statesSeen(0)).toEqual(['dead']);
     resume(world, 0);
     for (let tick = 0; tick < 10 * TICKS_PER_SECOND; tick += 1) {
       run(world, 1, 0);
-      for (const other of [1, 2, 3, 4]) expect(belief(0, other)).toBe('alive');
+      for (const other of [1, 2, 3, 4]) expect(stateSeenBy(0, other)).toBe('alive');
     }
-    expect(everyBelief()).toEqual(['alive']);
+    expect(allStatesSeen()).toEqual(['alive']);
   });
 
-  it('does not suspect those whose answers came while it was paused', () => {
+  it('does not suspect daemons whose answers arrived while it was paused', () => {
     for (let pauses = 0; pauses < 20; pauses += 1) {
       pause(world, 0);
       run(world, 8, 0);
       resume(world, 0);
       for (let tick = 0; tick < 10; tick += 1) {
         run(world, 1, 0);
-        for (const other of [1, 2, 3, 4]) expect(belief(0, other)).toBe('alive');
+        for (const other of [1, 2, 3, 4]) expect(stateSeenBy(0, other)).toBe('alive');
       }
     }
   });
 });
 
 describe('a daemon that was paused while it suspected another', () => {
-  it('gives the other the time that it slept through', () => {
+  it('extends the time of the suspect by its pause', () => {
     pause(world, 1);
-    while (belief(0, 1) !== 'suspect') run(world, 1, 0);
+    while (stateSeenBy(0, 1) !== 'suspect') run(world, 1, 0);
     pause(world, 0);
     resume(world, 1);
     run(world, 20 * TICKS_PER_SECOND, 0);
-    const told: string[] = [];
+    const senders: string[] = [];
     world.onSend = (from, message) => {
       if (message.kind !== 'entries') return;
-      if (JSON.stringify(message.entries).includes('"dead"')) told.push(from);
+      if (JSON.stringify(message.entries).includes('"dead"')) senders.push(from);
     };
     resume(world, 0);
     run(world, 10 * TICKS_PER_SECOND, 0);
-    expect(told).not.toContain('daemon-0');
-    expect(everyBelief()).toEqual(['alive']);
+    expect(senders).not.toContain('daemon-0');
+    expect(allStatesSeen()).toEqual(['alive']);
   });
 });
 
 describe('a partition', () => {
-  it('between two daemons alone makes nobody suspect either', () => {
+  it('between only two daemons makes no daemon suspect either of them', () => {
     world.blocked.add('daemon-0>daemon-1').add('daemon-1>daemon-0');
-    const told: string[] = [];
+    const senders: string[] = [];
     world.onSend = (from, message) => {
       if (message.kind !== 'entries') return;
-      if (JSON.stringify(message.entries).includes('"suspect"')) told.push(from);
+      if (JSON.stringify(message.entries).includes('"suspect"')) senders.push(from);
     };
     for (let tick = 0; tick < 60 * TICKS_PER_SECOND; tick += 1) {
       run(world, 1, 0);
-      expect(everyBelief()).toEqual(['alive']);
+      expect(allStatesSeen()).toEqual(['alive']);
     }
-    expect(told).toEqual([]);
+    expect(senders).toEqual([]);
   });
 
-  it('of one daemon from all makes it doubt itself before the others', () => {
+  it('of one daemon from all others makes it suspect itself before the others', () => {
     for (const other of [1, 2, 3, 4]) {
       world.blocked.add(`daemon-0>daemon-${other}`).add(`daemon-${other}>daemon-0`);
     }
-    while (beliefs(0).includes('alive')) run(world, 1, 0);
-    for (const other of [1, 2, 3, 4]) expect(belief(0, other)).toBe('alive');
+    while (statesSeen(0).includes('alive')) run(world, 1, 0);
+    for (const other of [1, 2, 3, 4]) expect(stateSeenBy(0, other)).toBe('alive');
     run(world, 60 * TICKS_PER_SECOND, 0);
-    for (const other of [1, 2, 3, 4]) expect(belief(0, other)).toBe('dead');
+    for (const other of [1, 2, 3, 4]) expect(stateSeenBy(0, other)).toBe('dead');
   });
 });
 
@@ -147,12 +147,12 @@
   it('is known as leaving within one tick, and never as suspect', () => {
     leave(world, 0);
     run(world, 1, 0);
-    expect(beliefs(0)).toEqual(['leaving']);
+    expect(statesSeen(0)).toEqual(['leaving']);
     kill(world, 0);
     for (let tick = 0; tick < 10 * TICKS_PER_SECOND; tick += 1) {
       run(world, 1, 0);
-      expect(beliefs(0)).not.toContain('suspect');
+      expect(statesSeen(0)).not.toContain('suspect');
     }
-    expect(beliefs(0)).toEqual(['dead']);
+    expect(statesSeen(0)).toEqual(['dead']);
   });
 });
--- a/tests/membership-fleet.test.ts
+++ b/tests/membership-fleet.test.ts
@@ -40,7 +40,7 @@
     ).toEqual(fleet.daemons.map(({ id }) => id));
   });
 
-  it('tell all of an entry once, and each newer version once', async () => {
+  it('deliver an entry to all once, and each newer version once', async () => {
     fleet = await startFleet({ count: 7 });
     await allKnow(7);
     const got: GossipEntry[] = [];
@@ -55,7 +55,7 @@
     expect(got.at(-1)?.value).toBe(2);
   });
 
-  it('tell all of an entry whose life ends between two milliseconds', async () => {
+  it('deliver an entry to all whose expiry is not a whole millisecond', async () => {
     fleet = await startFleet({ count: 3 });
     await allKnow(3);
     const expiresAt = (Math.floor(Date.now()) + 60_000.5) as EpochTime;
@@ -76,48 +76,48 @@
     );
   });
 
-  it('take a daemon that stops as leaving at once, without suspicion', async () => {
+  it('treat a daemon that stops as leaving at once, without suspicion', async () => {
     fleet = await startFleet({ count: 5 });
     await allKnow(5);
     const seen = new Set<string>();
     at(1).part.changes.subscribe(() => seen.add(beliefOf(at(1), 'daemon-0')));
     await at(0).part.stop();
-    await until('daemon-0 is gone', () =>
+    await until('daemon-0 is leaving or gone', () =>
       others().every((daemon) => ['leaving', 'gone'].includes(beliefOf(daemon, 'daemon-0'))),
     );
     expect(seen.has('leaving')).toBe(true);
     expect(seen.has('suspect')).toBe(false);
   });
 
-  it('give up a daemon that is cut off, and take it back when it is healed', async () => {
+  it('declare a partitioned daemon dead, and alive again once the partition heals', async () => {
     fleet = await startFleet({ count: 5 });
     await allKnow(5);
     fleet.cut('daemon-0');
-    await until('daemon-0 is given up', () =>
+    await until('daemon-0 is gone', () =>
       others().every((daemon) => beliefOf(daemon, 'daemon-0') === 'gone'),
     );
-    await until('daemon-0 gives the others up', () => at(0).part.peers().length === 1);
+    await until('all others are gone for daemon-0', () => at(0).part.peers().length === 1);
     at(1).part.gossip.publish('topic', 'missed', 1, soon());
     fleet.heal('daemon-0');
     await allKnow(5);
     await until('the missed entry arrives', () => at(0).part.gossip.entries('topic').length === 1);
   });
 
-  it('take entries of a daemon that was started again as newer', async () => {
+  it('treat entries of a restarted daemon as newer', async () => {
     fleet = await startFleet({ count: 3 });
     await allKnow(3);
     at(0).part.gossip.publish('topic', 'key', 'old', soon());
     await until('the old entry is known', () => at(1).part.gossip.entries('topic').length === 1);
     await at(0).part.stop();
-    const again = await fleet.add('daemon-0');
-    again.part.gossip.publish('topic', 'key', 'new', soon());
+    const restarted = await fleet.add('daemon-0');
+    restarted.part.gossip.publish('topic', 'key', 'new', soon());
     await until('the new entry is known', () =>
       [at(1), at(2)].every(({ part }) => part.gossip.entries('topic')[0]?.value === 'new'),
     );
     await until('it is alive', () => beliefOf(at(1), 'daemon-0') === 'alive');
   });
 
-  it('carry a direct message to one daemon alone', async () => {
+  it('deliver a direct message to one daemon only', async () => {
     fleet = await startFleet({ count: 3 });
     await allKnow(3);
     const got: string[] = [];
@@ -132,12 +132,12 @@
     expect(at(0).part.direct.send('nobody' as TestDaemon['id'], 'x', 1)).toBe(false);
   });
 
-  it('alarm when two processes use one id', async () => {
+  it('raise an alarm when two processes use one id', async () => {
     fleet = await startFleet({ count: 3 });
     await allKnow(3);
-    const twin = await fleet.add('daemon-0');
-    await until('someone alarms', () =>
-      [at(0), twin].some(({ alarms }) => alarms.includes('duplicate-id')),
+    const duplicate = await fleet.add('daemon-0');
+    await until('either raises an alarm', () =>
+      [at(0), duplicate].some(({ alarms }) => alarms.includes('duplicate-id')),
     );
   });
 });
--- a/tests/membership-gossip.test.ts
+++ b/tests/membership-gossip.test.ts
@@ -14,7 +14,7 @@
   run(world, 50, 0);
 });
 
-function heldBy(index: number): readonly number[] {
+function valuesAt(index: number): readonly number[] {
   const entries = [...(world.nodes[index]?.state?.entries.values() ?? [])];
   return entries
     .filter(({ topic }) => topic === 'topic')
@@ -22,7 +22,7 @@
     .sort((a, b) => a - b);
 }
 
-/** Bytes of entries that nodes send from now on, by id. */
+/** By id: bytes of entries that each node sends from now on. */
 function countBytes(): Map<string, number> {
   const sent = new Map<string, number>();
   world.onSend = (from, message) => {
@@ -37,19 +37,19 @@
   it('reaches all daemons within two ticks', () => {
     publish(world, 0);
     run(world, 2, 0);
-    for (const node of [1, 2, 3, 4]) expect(heldBy(node)).toEqual([1]);
+    for (const node of [1, 2, 3, 4]) expect(valuesAt(node)).toEqual([1]);
   });
 
-  it('reaches a daemon that lost every rumour', () => {
+  it('reaches a daemon that received no rumour', () => {
     setCut(world, 4, true);
     publish(world, 0);
     run(world, 5, 0);
     setCut(world, 4, false);
     run(world, 30 * TICKS_PER_SECOND, 0);
-    expect(heldBy(4)).toEqual([1]);
+    expect(valuesAt(4)).toEqual([1]);
   });
 
-  it('stops when all have an entry: a quiet system sends none', () => {
+  it('stops when all daemons have an entry: an idle system sends none', () => {
     publish(world, 0);
     run(world, 10 * TICKS_PER_SECOND, 0);
     const sent = countBytes();
@@ -57,12 +57,12 @@
     expect([...sent]).toEqual([]);
   });
 
-  it('forgets an entry at its end', () => {
+  it('removes an entry at its expiry', () => {
     publish(world, 0, 3000);
     run(world, 2, 0);
-    expect(heldBy(1)).toEqual([1]);
+    expect(valuesAt(1)).toEqual([1]);
     run(world, 4 * TICKS_PER_SECOND, 0);
-    for (const node of [0, 1, 2, 3, 4]) expect(heldBy(node)).toEqual([]);
+    for (const node of [0, 1, 2, 3, 4]) expect(valuesAt(node)).toEqual([]);
   });
 
   it('sends no more bytes than the limit allows, whatever is published', () => {
@@ -79,6 +79,6 @@
     expect(total).toBeGreaterThan(bytesPerSecond * seconds * 0.8);
     expect(total).toBeLessThan(atOnce + perSecond * seconds + 1000);
     run(world, 30 * TICKS_PER_SECOND, 0);
-    for (const node of [1, 2, 3, 4]) expect(heldBy(node)).toEqual(heldBy(0));
+    for (const node of [1, 2, 3, 4]) expect(valuesAt(node)).toEqual(valuesAt(0));
   });
 });
--- a/tests/membership-rendezvous.test.ts
+++ b/tests/membership-rendezvous.test.ts
@@ -13,11 +13,11 @@
     }
   });
 
-  it('moves only the keys of a candidate that goes', () => {
-    const [gone, ...rest] = DAEMONS;
+  it('moves only the keys of a removed candidate', () => {
+    const [removed, ...remaining] = DAEMONS;
     for (const key of KEYS) {
       const before = rankByRendezvous(key, DAEMONS);
-      expect(rankByRendezvous(key, rest)).toEqual(before.filter((id) => id !== gone));
+      expect(rankByRendezvous(key, remaining)).toEqual(before.filter((id) => id !== removed));
     }
   });
 
@@ -34,13 +34,13 @@
 });
 
 describe('rankOf', () => {
-  it('gives the place in the order of all', () => {
+  it('returns the index in the order of all candidates', () => {
     const names = fc.uniqueArray(fc.string({ maxLength: 12 }), { minLength: 1, maxLength: 30 });
     fc.assert(
       fc.property(fc.string({ maxLength: 12 }), names, (key, candidates) => {
         const order = rankByRendezvous(key, candidates);
-        expect(candidates.map((one) => rankOf(key, one, candidates))).toEqual(
-          candidates.map((one) => order.indexOf(one)),
+        expect(candidates.map((candidate) => rankOf(key, candidate, candidates))).toEqual(
+          candidates.map((candidate) => order.indexOf(candidate)),
         );
       }),
       { seed: 1 },
--- a/tests/store-era.test.ts
+++ b/tests/store-era.test.ts
@@ -11,7 +11,7 @@
 const era = (value: number): StoreEra => value as StoreEra;
 const at = (ms: number): MonoTime => ms as MonoTime;
 
-describe('a point in the history of a store', () => {
+describe('a position in the history of a store', () => {
   it('is later in a later era, however small its revision', () => {
     expect(isLater({ era: era(2), revision: 1 }, { era: era(1), revision: 900 })).toBe(true);
     expect(isLater({ era: era(1), revision: 900 }, { era: era(2), revision: 1 })).toBe(false);
@@ -20,21 +20,21 @@
     expect(latest({ era: era(1), revision: 900 }, last)).toBe(last);
   });
 
-  it('has an era that a number must be able to name', () => {
+  it('accepts as era only a number that may be one', () => {
     expect(toStoreEra(3)).toBe(3);
     for (const value of [-1, 1.5, NaN, 2 ** 40]) expect(toStoreEra(value)).toBeUndefined();
   });
 });
 
 describe('fencing numbers', () => {
-  it('are each of one era, and those of a later era are above all earlier ones', () => {
+  it('each belong to one era, and those of a later era are above all earlier ones', () => {
     const last = (fencingFloor(era(2)) - 1) as FencingNumber;
     expect(isOfEra(last, era(1))).toBe(true);
     expect(isOfEra(last, era(2))).toBe(false);
     expect(isOfEra((fencingFloor(era(2)) + 1) as FencingNumber, era(2))).toBe(true);
   });
 
-  it('leave epochs of groups whole numbers in the last era', () => {
+  it('keep epochs of groups safe integers in the last era', () => {
     const last = toStoreEra(2 ** 17 - 1);
     expect(last).toBeDefined();
     expect(Number.isSafeInteger((fencingFloor(last ?? era(0)) + 2 ** 20 - 1) * 65_536)).toBe(true);
@@ -58,7 +58,7 @@
 }
 
 const TICK: LeaseEvent = { kind: 'tick' };
-const RETURN: LeaseEvent = { kind: 'era', era: era(2) };
+const RESTORE: LeaseEvent = { kind: 'era', era: era(2) };
 
 /** Holds the lease in the first era since 0. */
 function holder(self = 'a'): LeaseState {
@@ -66,35 +66,35 @@
   return drive(sent.state, 0, { kind: 'committed', version: 5, fenceVersion: 5 }).state;
 }
 
-describe('the holder of a lease, when the store comes back from an older copy', () => {
-  it('takes it again at once, under a number above all of the lost era', () => {
+describe('the holder of a lease, when the store is restored from an older copy', () => {
+  it('retakes it at once, under a fencing number above all of the lost era', () => {
     const before = holder();
-    const back = drive(before, 500, RETURN);
-    expect(back.effects).toEqual([{ kind: 'read' }]);
-    expect(isHolder(back.state, at(500))).toBe(true);
-    const { effects } = drive(back.state, 510, seen(2, 3, rowOf('b', 2)), TICK);
+    const restored = drive(before, 500, RESTORE);
+    expect(restored.effects).toEqual([{ kind: 'read' }]);
+    expect(isHolder(restored.state, at(500))).toBe(true);
+    const { effects } = drive(restored.state, 510, seen(2, 3, rowOf('b', 2)), TICK);
     expect(effects).toMatchObject([{ kind: 'commit', leaseVersion: 3, row: { holder: 'a' } }]);
     const [commit] = effects as readonly Extract<LeaseEffect, { kind: 'commit' }>[];
     expect(commit?.row.fencing).toBeGreaterThan(fencingFloor(era(2)));
     expect(before.held?.fencing).toBeLessThan(fencingFloor(era(2)));
   });
 
-  it('does not count a renewal whose condition was of the lost era', () => {
+  it('does not count a renewal with a condition of the lost era', () => {
     const sent = drive(holder(), 700, TICK);
     expect(sent.effects).toMatchObject([{ kind: 'commit' }]);
     const committed = { kind: 'committed', version: 9, fenceVersion: 5 } as const;
-    const { state, effects } = drive(sent.state, 750, RETURN, committed);
+    const { state, effects } = drive(sent.state, 750, RESTORE, committed);
     expect(effects).toEqual([{ kind: 'read' }]);
     expect(state.held?.validUntil).toBe(1_800);
     expect(isHolder(state, at(1_900))).toBe(false);
   });
 
-  it('does not take an own row of the lost era for a renewal whose answer was lost', () => {
+  it('does not treat an own row of the lost era as a renewal whose response was lost', () => {
     const sent = drive(holder(), 700, TICK);
     const { state } = drive(
       sent.state,
       2_500,
-      RETURN,
+      RESTORE,
       { kind: 'unsure' },
       seen(2, 4, rowOf('a', 1)),
     );
@@ -103,36 +103,36 @@
     expect(after.effects).toEqual([]);
   });
 
-  it('stops to hold it once the lease runs out before it could be taken again', () => {
-    const { state } = drive(holder(), 500, RETURN, { kind: 'read-failed' });
+  it('stops holding the lease if it expires before it could be retaken', () => {
+    const { state } = drive(holder(), 500, RESTORE, { kind: 'read-failed' });
     expect(drive(state, 1_900, TICK).state.held).toBeUndefined();
   });
 
-  it('passes over rows that were read before the return was known', () => {
-    const back = drive(holder(), 500, RETURN);
-    expect(drive(back.state, 505, seen(1, 7, rowOf('a', 1))).state.seen).toBeUndefined();
+  it('ignores rows that were read in the earlier era', () => {
+    const restored = drive(holder(), 500, RESTORE);
+    expect(drive(restored.state, 505, seen(1, 7, rowOf('a', 1))).state.seen).toBeUndefined();
   });
 });
 
-describe('another daemon, when the store comes back from an older copy', () => {
+describe('another daemon, when the store is restored from an older copy', () => {
   it.each([
     ['a free lease', rowOf('b', 1, { released: true })],
     ['an own lease of an earlier process', rowOf('c', 1, { session: 'earlier' })],
     ['no lease', undefined],
-  ])('waits for as long as a lease lasts where the copy shows %s', (_, row) => {
+  ])('waits for the duration of a lease if the copy shows %s', (_, row) => {
     const known = drive(candidate('c'), 0, seen(1, 4, rowOf('b', 1))).state;
-    const back = drive(known, 1_000, RETURN, seen(2, 3, row));
-    expect(drive(back.state, 1_050, TICK).effects).toEqual([]);
-    const still = drive(back.state, 3_100, seen(2, 3, row), TICK);
-    expect(still.effects).toEqual([]);
-    const { effects } = drive(still.state, 3_250, TICK);
+    const restored = drive(known, 1_000, RESTORE, seen(2, 3, row));
+    expect(drive(restored.state, 1_050, TICK).effects).toEqual([]);
+    const waiting = drive(restored.state, 3_100, seen(2, 3, row), TICK);
+    expect(waiting.effects).toEqual([]);
+    const { effects } = drive(waiting.state, 3_250, TICK);
     expect(effects).toMatchObject([{ kind: 'commit', row: { holder: 'c' } }]);
   });
 
-  it('does not wait again for a lease that was handed back after the return', () => {
+  it('does not wait again for a lease that was released after the restore', () => {
     const known = drive(candidate('c'), 0, seen(1, 4, rowOf('b', 1))).state;
     const free = rowOf('b', fencingFloor(era(2)) + 1, { released: true });
-    const { effects } = drive(known, 1_000, RETURN, seen(2, 3, free), TICK);
+    const { effects } = drive(known, 1_000, RESTORE, seen(2, 3, free), TICK);
     expect(effects).toMatchObject([{ kind: 'commit', row: { holder: 'c' } }]);
   });
 });
