--- a/src/core/groups/domain-types.ts
+++ b/src/core/groups/domain-types.ts
@@ -226,9 +226,11 @@
       readonly report: EngineReport;
       readonly sentAt: MonoTime;
     }
+  /** A probe that was sent then was not answered. */
   | { readonly kind: 'silent'; readonly instance: InstanceId; readonly sentAt: MonoTime }
   /** Another daemon's observation shows all members of the group as healthy until then. */
   | { readonly kind: 'vouched'; readonly group: GroupId; readonly until: MonoTime }
+  /** An operator or a peer asks for the instance to be drained. */
   | { readonly kind: 'drain'; readonly instance: InstanceId }
   | {
       readonly kind: 'slots';
--- a/src/core/groups/forming-estimates.ts
+++ b/src/core/groups/forming-estimates.ts
@@ -21,6 +21,7 @@
   readonly meanMs: Readonly<Record<ModelId, number>>;
 }
 
+/** The estimates before any group was observed. */
 export const NO_FORMING_ESTIMATES: FormingEstimates = { forming: {}, meanMs: {} };
 
 /** Records which groups are forming now and removes all others. */
--- a/src/core/groups/shortfall.ts
+++ b/src/core/groups/shortfall.ts
@@ -14,7 +14,7 @@
   readonly unassigned: number;
 }
 
-/** Group and accelerator seconds since this daemon started, of domains while it held them. */
+/** Group-seconds and accelerator-seconds since this daemon started, of domains while it held them. */
 export interface ShortfallTotals {
   readonly downtime: Readonly<Record<ModelId, number>>;
   readonly stranded: Readonly<Record<ModelId, number>>;
--- a/src/core/groups/watch.ts
+++ b/src/core/groups/watch.ts
@@ -41,7 +41,7 @@
   readonly row: GroupRow;
   readonly probes: Readonly<Record<InstanceId, MemberProbe>>;
   readonly stated?: Statement;
-  /** Observations from up to then no longer count; absent unless something spoke against them. */
+  /** Observations up to then are ignored, after a failed request, a bad probe or a warning. */
   readonly distrustedAt?: MonoTime;
   /** A peer's warning; only a later statement of the same peer, or own probes, clear it. */
   readonly warning?: StatementSource;
@@ -101,8 +101,8 @@
 }
 
 /**
- * Whether a probe may make a serving group routable: nothing speaks against it, but observations
- * are stale or yet to arrive.
+ * Whether a probe may make a serving group routable: no failure or warning counts against it, but
+ * its observations are stale or have not arrived.
  */
 export function isAwaitingProbe(state: WatchState, now: MonoTime): boolean {
   const isServing = state.row.phase === 'serving' && !state.leaving;
--- a/src/core/membership/entries.ts
+++ b/src/core/membership/entries.ts
@@ -10,7 +10,7 @@
 const BUCKETS = 64;
 /** Entries this close to their expiry are not compared, since clocks differ. */
 const EXPIRY_MARGIN_MS = 2000;
-/** Most entries listed in one message, beyond those of its first bucket. */
+/** Most entries listed in one message, unless its first bucket alone has more. */
 const MAX_LINES = 128;
 const ENTRY_OVERHEAD_BYTES = 60;
 const MAX_ENTRIES = 50_000;
--- a/src/core/membership/types.ts
+++ b/src/core/membership/types.ts
@@ -55,7 +55,7 @@
   readonly target: string;
 }
 
-/** Entries that are new to the receiver, as far as the sender knows. */
+/** Entries that the receiver may lack. */
 export interface EntriesMessage {
   readonly kind: 'entries';
   readonly entries: readonly Entry[];
--- a/tests/fuzz/groups/oracle.ts
+++ b/tests/fuzz/groups/oracle.ts
@@ -26,7 +26,7 @@
       checkRows(world);
       checkHolders(world);
       if (world.staleOrders.length > 0)
-        throw new Error(`stale orders followed: ${world.staleOrders.join()}`);
+        throw new Error(`stale orders sent: ${world.staleOrders.join()}`);
     },
   };
 }
