--- a/src/core/routing/cache.ts
+++ b/src/core/routing/cache.ts
@@ -1,35 +1,43 @@
 /**
- * What may be cached where. Events from engines come late and with gaps, so they never rule a group
- * in or out: they only raise the probability of a hit, which fades.
+ * Estimates which groups have a prompt prefix in their cache. Cache events from engines arrive late
+ * and with gaps, so they never include or exclude a group: they only change the probability of a
+ * hit, which decays over time.
  */
 
 import type { GroupId, MonoTime, OrganisationId } from '../ids';
 import type { CacheEstimate, CacheEvent, CacheEvents, GroupState, RoutingState } from './types';
 
-/** Belief after our own request with that prefix was sent. */
+/** Hit probability after this daemon sent a request with the prefix. */
 const SENT_PROBABILITY = 0.8;
-/** Belief after the engine said that it stored the prefix. */
+/** Hit probability after the engine reported that it stored the prefix. */
 const STORED_PROBABILITY = 0.95;
-/** What a gap in the events leaves of a belief. */
+/** Factor applied to a probability for each gap in the sequence of events. */
 const GAP_FACTOR = 0.5;
 
-/** The key of a prefix of one organisation; the same prefix of another has another key. */
+/** Key of a prefix within one organisation, so that organisations never share a cache estimate. */
 export function affinityKey(organisation: OrganisationId, prefixKey: string): string {
   return `${organisation}\0${prefixKey}`;
 }
 
-function remember(state: RoutingState, key: string, group: GroupId, belief: CacheEstimate): void {
-  const beliefs = state.prefixes.get(key) ?? new Map<GroupId, CacheEstimate>();
-  beliefs.set(group, belief);
-  // Put again, so that the map's order is that of last use.
+function setEstimate(
+  state: RoutingState,
+  key: string,
+  group: GroupId,
+  estimate: CacheEstimate,
+): void {
+  const estimates = state.prefixes.get(key) ?? new Map<GroupId, CacheEstimate>();
+  estimates.set(group, estimate);
+  // Reinserted, so that the map is ordered by last use.
   state.prefixes.delete(key);
-  state.prefixes.set(key, beliefs);
+  state.prefixes.set(key, estimates);
   if (state.prefixes.size <= state.opts.maxPrefixes) return;
   const oldest = state.prefixes.keys().next();
   if (oldest.done !== true) state.prefixes.delete(oldest.value);
 }
 
-/** Own send: the group will probably hold these prefixes. */
+/**
+ * Records that a request with these prefixes was sent to the group, which will probably cache them.
+ */
 export function recordSentPrefixes(
   state: RoutingState,
   group: GroupState,
@@ -38,23 +46,23 @@
 ): void {
   for (const key of keys) {
     const known = hitProbability(state, key, group, now);
-    const belief = Math.max(known, SENT_PROBABILITY);
-    remember(state, key, group.id, { probability: belief, at: now, gaps: group.cacheGaps });
+    const estimate = Math.max(known, SENT_PROBABILITY);
+    setEstimate(state, key, group.id, { probability: estimate, at: now, gaps: group.cacheGaps });
   }
 }
 
-type NoteEvent = (state: RoutingState, prefix: string, group: GroupState, now: MonoTime) => void;
+type EventHandler = (state: RoutingState, prefix: string, group: GroupState, now: MonoTime) => void;
 
-const NOTES: Readonly<Record<CacheEvent['kind'], NoteEvent>> = {
+const EVENT_HANDLERS: Readonly<Record<CacheEvent['kind'], EventHandler>> = {
   stored: (state, prefix, { id, cacheGaps }, now) => {
-    remember(state, prefix, id, { probability: STORED_PROBABILITY, at: now, gaps: cacheGaps });
+    setEstimate(state, prefix, id, { probability: STORED_PROBABILITY, at: now, gaps: cacheGaps });
   },
   evicted: (state, prefix, { id }) => {
     state.prefixes.get(prefix)?.delete(id);
   },
 };
 
-/** Takes in an engine's events; those seen before are passed over. */
+/** Applies an engine's cache events; events received before are skipped. */
 export function applyCacheEvents(
   state: RoutingState,
   group: GroupState,
@@ -66,25 +74,25 @@
     const isGap = group.cacheSeq > 0 && event.seq > group.cacheSeq + 1;
     if (isGap) group.cacheGaps += 1;
     group.cacheSeq = event.seq;
-    NOTES[event.kind](state, event.prefix, group, now);
+    EVENT_HANDLERS[event.kind](state, event.prefix, group, now);
   }
 }
 
-/** Probability that the group holds the prefix. */
+/** Probability that the group has the prefix in its cache, from 0 to 1. */
 export function hitProbability(
   state: RoutingState,
   key: string,
   group: GroupState,
   now: MonoTime,
 ): number {
-  const belief = state.prefixes.get(key)?.get(group.id);
-  if (belief === undefined) return 0;
-  const halfLives = (now - belief.at) / state.opts.cacheHalfLifeMs;
-  const doubt = GAP_FACTOR ** (group.cacheGaps - belief.gaps);
-  return belief.probability * doubt * 0.5 ** halfLives;
+  const estimate = state.prefixes.get(key)?.get(group.id);
+  if (estimate === undefined) return 0;
+  const halfLives = (now - estimate.at) / state.opts.cacheHalfLifeMs;
+  const gapFactor = GAP_FACTOR ** (group.cacheGaps - estimate.gaps);
+  return estimate.probability * gapFactor * 0.5 ** halfLives;
 }
 
-/** Expected share of the prompt's prefixes that the group holds. */
+/** Expected fraction of the prompt's prefixes that the group has in its cache. */
 export function expectedHitRatio(
   state: RoutingState,
   keys: readonly string[],
--- a/src/core/routing/hash.ts
+++ b/src/core/routing/hash.ts
@@ -1,4 +1,4 @@
-/** A small string hash for rendezvous hashing. Not for secrets. */
+/** String hashes for rendezvous hashing. Not cryptographic. */
 
 const FNV_OFFSET = 0x811c9dc5;
 const FNV_PRIME = 0x01000193;
@@ -13,7 +13,7 @@
   return hash >>> 0;
 }
 
-/** Mixes two hashes into one, evenly spread (the finaliser of MurmurHash3). */
+/** Combines two hashes into one, uniformly distributed (the finaliser of MurmurHash3). */
 export function mixHashes(a: number, b: number): number {
   let hash = (a ^ Math.imul(b, 0x9e3779b1)) >>> 0;
   hash = Math.imul(hash ^ (hash >>> 16), 0x85ebca6b);
--- a/src/core/routing/policies.ts
+++ b/src/core/routing/policies.ts
@@ -1,4 +1,4 @@
-/** The policies that choose among the groups of a model. */
+/** Routing policies: how a request chooses among the groups of its model. */
 
 import type { RandomContext } from '../random';
 import { expectedHitRatio } from './cache';
@@ -6,7 +6,7 @@
 import { estimateLoad } from './load';
 import type { GroupState, ModelState, RoutingPolicyName, RoutingState } from './types';
 
-/** What a policy may look at. */
+/** Input of a policy besides the candidate groups. */
 export interface ChoiceContext {
   readonly state: RoutingState;
   readonly model: ModelState;
@@ -15,21 +15,22 @@
   readonly ctx: RandomContext;
 }
 
+/** A rule for choosing one of the candidate groups. */
 export interface RoutingPolicy {
-  /** Whether stragglers are kept from it. */
+  /** Whether ejected stragglers are removed from the candidates. */
   readonly ejectsStragglers: boolean;
-  /** Picks one of `groups`, which are not empty. */
+  /** Picks one of `groups`, which is not empty. */
   choose(groups: readonly GroupState[], choice: ChoiceContext): GroupState | undefined;
 }
 
-/** Load as a share of a batch, after one more request, on a group of average speed. */
-function fill(group: GroupState, { state, model, ctx }: ChoiceContext): number {
+/** Batch utilisation with one more request, scaled by how slow the group is; 1 is a full batch. */
+function utilisation(group: GroupState, { state, model, ctx }: ChoiceContext): number {
   const load = estimateLoad(group.load, model.meanPeerLoad, ctx.now, state.opts);
   return ((load + 1) * group.slowness) / group.maxBatch;
 }
 
-/** The group with the lowest cost; of equal ones, one by lot. */
-function cheapest(
+/** The group with the lowest cost; ties are broken uniformly at random. */
+function lowestCost(
   groups: readonly GroupState[],
   cost: (group: GroupState) => number,
   { ctx }: ChoiceContext,
@@ -52,25 +53,25 @@
   return groups[Math.floor(ctx.random.next() * groups.length)];
 }
 
-/** Two by lot, the less loaded of them (Mitzenmacher, "The power of two choices"). */
+/** The less loaded of two random groups (Mitzenmacher, "The power of two choices"). */
 function chooseOfTwo(groups: readonly GroupState[], choice: ChoiceContext): GroupState | undefined {
   const first = pickRandom(groups, choice);
   const rest = groups.filter((group) => group !== first);
   const second = pickRandom(rest, choice);
   const two = [first, second].filter((group) => group !== undefined);
-  return cheapest(two, (group) => fill(group, choice), choice);
+  return lowestCost(two, (group) => utilisation(group, choice), choice);
 }
 
 /**
- * The two groups highest by rendezvous hash of the prefix that are within the load bound, after
- * "Consistent hashing with bounded loads" (Mirrokni, Thorup, Zadimoghaddam).
+ * The two groups with the highest rendezvous hash of the prefix among those within the load bound,
+ * after "Consistent hashing with bounded loads" (Mirrokni, Thorup, Zadimoghaddam).
  */
 function affinityCandidates(
   groups: readonly GroupState[],
   key: string,
   choice: ChoiceContext,
 ): readonly GroupState[] {
-  const loads = groups.map((group) => fill(group, choice));
+  const loads = groups.map((group) => utilisation(group, choice));
   const mean = loads.reduce((sum, load) => sum + load, 0) / groups.length;
   const bound = mean * choice.state.opts.loadBound;
   const hash = hashText(key);
@@ -90,11 +91,15 @@
   const { state, keys, ctx } = choice;
   const candidates = affinityCandidates(groups, key, choice);
   const cost = (group: GroupState) =>
-    fill(group, choice) - state.opts.cacheBonus * expectedHitRatio(state, keys, group, ctx.now);
-  return cheapest(candidates, cost, choice);
+    utilisation(group, choice) -
+    state.opts.cacheBonus * expectedHitRatio(state, keys, group, ctx.now);
+  return lowestCost(candidates, cost, choice);
 }
 
-/** The groups highest by rendezvous hash of the prefix: all daemons send it there at first. */
+/**
+ * The two groups with the highest rendezvous hash of the prefix. All daemons compute the same ones,
+ * so they send a prefix there before any cache event arrives.
+ */
 function homesOf(groups: readonly GroupState[], key: string): ReadonlySet<GroupState> {
   const hash = hashText(key);
   let first: GroupState | undefined;
@@ -113,7 +118,10 @@
   return new Set([first, second].filter((group) => group !== undefined));
 }
 
-/** Load and cache weighed for every group; a hit outweighs a bounded difference of load alone. */
+/**
+ * Weighs load against expected cache hits over all groups; a hit outweighs only a bounded
+ * difference in load.
+ */
 function chooseByAffinity(
   groups: readonly GroupState[],
   choice: ChoiceContext,
@@ -121,17 +129,18 @@
   const { state, keys, ctx } = choice;
   const { cacheBonus, homePrior, overflowCost } = state.opts;
   const [key] = keys;
-  if (key === undefined) return cheapest(groups, (group) => fill(group, choice), choice);
+  if (key === undefined) return lowestCost(groups, (group) => utilisation(group, choice), choice);
   const homes = homesOf(groups, key);
   const cost = (group: GroupState) => {
-    const filled = fill(group, choice);
+    const used = utilisation(group, choice);
     const known = expectedHitRatio(state, keys, group, ctx.now);
     const hit = homes.has(group) ? Math.max(known, homePrior) : known;
-    return filled + overflowCost * Math.max(0, filled - 1) - cacheBonus * hit;
+    return used + overflowCost * Math.max(0, used - 1) - cacheBonus * hit;
   };
-  return cheapest(groups, cost, choice);
+  return lowestCost(groups, cost, choice);
 }
 
+/** All policies by name. */
 export const ROUTING_POLICIES: Readonly<Record<RoutingPolicyName, RoutingPolicy>> = {
   'round-robin': {
     ejectsStragglers: false,
@@ -143,11 +152,11 @@
   random: { ejectsStragglers: false, choose: pickRandom },
   'least-in-flight': {
     ejectsStragglers: false,
-    choose: (groups, choice) => cheapest(groups, (group) => group.load.inFlight, choice),
+    choose: (groups, choice) => lowestCost(groups, (group) => group.load.inFlight, choice),
   },
   'least-estimated': {
     ejectsStragglers: true,
-    choose: (groups, choice) => cheapest(groups, (group) => fill(group, choice), choice),
+    choose: (groups, choice) => lowestCost(groups, (group) => utilisation(group, choice), choice),
   },
   'two-choices': { ejectsStragglers: true, choose: chooseOfTwo },
   'bounded-affinity': { ejectsStragglers: true, choose: chooseBoundedAffinity },
--- a/src/core/routing/routing.ts
+++ b/src/core/routing/routing.ts
@@ -1,6 +1,6 @@
 /**
- * Choice of a replica group for each attempt of a request. Pure but for its state, a record that
- * one loop owns and that every function changes in place and hands back.
+ * Chooses a replica group for each attempt of a request. No I/O: every function updates the state
+ * in place and returns it. The state belongs to one event loop.
  */
 
 import type { RoutableGroup } from '../groups/types';
@@ -34,11 +34,12 @@
   SentEvent,
 } from './types';
 
-/** Choices between two sweeps for groups that are gone. */
-const SWEEP_EVERY = 1_024;
-/** A group not offered for so long is forgotten, milliseconds. */
-const FORGET_AFTER_MS = 600_000;
+/** Choices between two sweeps for removed groups. */
+const SWEEP_INTERVAL = 1_024;
+/** A group that was not offered for this long is dropped, milliseconds. */
+const DROP_AFTER_MS = 600_000;
 
+/** The initial state, with options that override {@link ROUTING_DEFAULTS}. */
 export function createRouting(opts: Partial<RoutingOptions> = {}): RoutingState {
   return {
     opts: { ...ROUTING_DEFAULTS, ...opts },
@@ -50,41 +51,49 @@
   };
 }
 
-/** Chooses a group for one attempt; none when no group is left to try. */
+/**
+ * Chooses a group for one attempt; `undefined` if every group was tried or is no longer routable.
+ */
 export function chooseGroup(state: RoutingState, req: RouteRequest, ctx: RandomContext): Route {
   const offered = new Map<GroupId, RoutableGroup>();
-  const known: GroupState[] = [];
+  const tracked: GroupState[] = [];
   for (const group of req.groups) {
     if (group.routableUntil <= ctx.now) continue;
-    const seen = see(state, group, ctx.now);
-    known.push(seen);
+    const entry = trackGroup(state, group, ctx.now);
+    tracked.push(entry);
     if (!req.exclude.has(group.id)) offered.set(group.id, group);
   }
-  const [first] = known;
+  const [first] = tracked;
   if (first === undefined || offered.size === 0) return { state, group: undefined };
   const model = modelOf(state, first.model, ctx.now);
-  judgeIfDue(state, model, known, ctx.now);
+  evaluateIfDue(state, model, tracked, ctx.now);
   sweepIfDue(state, ctx.now);
   const policy = ROUTING_POLICIES[state.opts.policy];
-  const open = known.filter((group) => offered.has(group.id));
+  const candidates = tracked.filter((group) => offered.has(group.id));
   const groups = policy.ejectsStragglers
-    ? eligibleGroups(open, ctx.now, state.opts, ctx.random)
-    : open;
+    ? eligibleGroups(candidates, ctx.now, state.opts, ctx.random)
+    : candidates;
   const keys = req.prefixKeys.map((key) => affinityKey(req.organisation, key));
   const chosen = policy.choose(groups, { state, model, keys, ctx });
   return { state, group: chosen && offered.get(chosen.id) };
 }
 
-/** An attempt was sent: counts it as in flight. */
+/** Records that an attempt was sent and counts it as in flight. */
 export function onSent(state: RoutingState, event: SentEvent, { now }: StepContext): RoutingState {
   const group = state.groups.get(event.group);
   if (group === undefined || state.attempts.has(event.attempt)) return state;
-  const meanOthers = state.models.get(group.model)?.meanPeerLoad ?? 0;
-  const hadRoom = estimateLoad(group.load, meanOthers, now, state.opts) < group.maxBatch;
+  const meanPeerLoad = state.models.get(group.model)?.meanPeerLoad ?? 0;
+  const hadFreeSlot = estimateLoad(group.load, meanPeerLoad, now, state.opts) < group.maxBatch;
   const { streams = false } = event;
-  const attempt = { group: event.group, sentAt: now, hadRoom, streams, firstTokenAt: undefined };
+  const attempt = {
+    group: event.group,
+    sentAt: now,
+    hadFreeSlot,
+    streams,
+    firstTokenAt: undefined,
+  };
   state.attempts.set(event.attempt, attempt);
-  if (hadRoom && streams) group.waiting.set(event.attempt, now);
+  if (hadFreeSlot && streams) group.waiting.set(event.attempt, now);
   adjustInFlight(group.load, 1, now);
   const { organisation, prefixKeys = [] } = event;
   if (organisation === undefined) return state;
@@ -93,7 +102,7 @@
   return state;
 }
 
-/** The attempt's first token came. */
+/** Records that the attempt's first token arrived. */
 export function onFirstToken(
   state: RoutingState,
   event: FirstTokenEvent,
@@ -104,12 +113,12 @@
   if (attempt === undefined || attempt.firstTokenAt !== undefined) return state;
   attempt.firstTokenAt = now;
   group?.waiting.delete(event.attempt);
-  const counts = attempt.hadRoom && attempt.streams;
-  if (group !== undefined && counts) addSample(group.firstTokenMs, now - attempt.sentAt);
+  const isSample = attempt.hadFreeSlot && attempt.streams;
+  if (group !== undefined && isSample) addSample(group.firstTokenMs, now - attempt.sentAt);
   return state;
 }
 
-/** The attempt is over, however it went. A second call for it does nothing. */
+/** Records that the attempt ended, with whatever result. A second call for it does nothing. */
 export function onEnd(state: RoutingState, event: EndEvent, { now }: StepContext): RoutingState {
   const attempt = state.attempts.get(event.attempt);
   if (attempt === undefined) return state;
@@ -125,7 +134,7 @@
   return state;
 }
 
-/** An engine said how much it holds. */
+/** Applies an engine's load report. */
 export function onLoadReport(
   state: RoutingState,
   report: LoadReport,
@@ -136,7 +145,7 @@
   return state;
 }
 
-/** An engine said what it cached and dropped; late, and perhaps not all of it. */
+/** Applies an engine's cache events, which may arrive late and incomplete. */
 export function onCacheEvents(
   state: RoutingState,
   batch: CacheEvents,
@@ -147,14 +156,14 @@
   return state;
 }
 
-function see(state: RoutingState, group: RoutableGroup, now: MonoTime): GroupState {
-  const known = state.groups.get(group.id);
-  if (known !== undefined) {
-    known.lastSeen = now;
-    known.maxBatch = group.maxBatch;
-    return known;
+function trackGroup(state: RoutingState, group: RoutableGroup, now: MonoTime): GroupState {
+  const existing = state.groups.get(group.id);
+  if (existing !== undefined) {
+    existing.lastSeen = now;
+    existing.maxBatch = group.maxBatch;
+    return existing;
   }
-  const seen: GroupState = {
+  const created: GroupState = {
     id: group.id,
     model: group.model,
     hash: hashText(group.id),
@@ -170,39 +179,39 @@
     cacheGaps: 0,
     lastSeen: now,
   };
-  state.groups.set(group.id, seen);
-  return seen;
+  state.groups.set(group.id, created);
+  return created;
 }
 
 function modelOf(state: RoutingState, id: ModelId, now: MonoTime): ModelState {
-  const known = state.models.get(id);
-  if (known !== undefined) return known;
+  const existing = state.models.get(id);
+  if (existing !== undefined) return existing;
   const model: ModelState = { roundRobinIndex: -1, nextEvaluationAt: now, meanPeerLoad: 0 };
   state.models.set(id, model);
   return model;
 }
 
-function judgeIfDue(
+function evaluateIfDue(
   state: RoutingState,
-  shared: ModelState,
+  modelState: ModelState,
   groups: readonly GroupState[],
   now: MonoTime,
 ): void {
-  if (now < shared.nextEvaluationAt) return;
-  shared.nextEvaluationAt = later(now, state.opts.judgeEveryMs);
+  if (now < modelState.nextEvaluationAt) return;
+  modelState.nextEvaluationAt = later(now, state.opts.judgeEveryMs);
   const reported = groups.filter((group) => group.load.reportedAt !== undefined);
-  const others = reported.reduce((sum, group) => sum + group.load.peerLoad, 0);
-  shared.meanPeerLoad = reported.length === 0 ? 0 : others / reported.length;
+  const totalPeerLoad = reported.reduce((sum, group) => sum + group.load.peerLoad, 0);
+  modelState.meanPeerLoad = reported.length === 0 ? 0 : totalPeerLoad / reported.length;
   const model = groups[0]?.model;
-  const known = [...state.groups.values()].filter((group) => group.model === model);
-  updateEjections(groups, countEjected(known, now, state.opts), now, state.opts);
+  const ofModel = [...state.groups.values()].filter((group) => group.model === model);
+  updateEjections(groups, countEjected(ofModel, now, state.opts), now, state.opts);
 }
 
 function sweepIfDue(state: RoutingState, now: MonoTime): void {
   state.choices += 1;
-  if (state.choices % SWEEP_EVERY !== 0) return;
+  if (state.choices % SWEEP_INTERVAL !== 0) return;
   for (const group of state.groups.values()) {
     const isIdle = group.load.inFlight === 0;
-    if (isIdle && now - group.lastSeen > FORGET_AFTER_MS) state.groups.delete(group.id);
+    if (isIdle && now - group.lastSeen > DROP_AFTER_MS) state.groups.delete(group.id);
   }
 }
--- a/src/core/routing/types.ts
+++ b/src/core/routing/types.ts
@@ -1,9 +1,9 @@
-/** What routing takes in and keeps. */
+/** Options, state and events of routing. */
 
 import type { RoutableGroup } from '../groups/types';
 import type { AttemptId, GroupId, ModelId, MonoTime, OrganisationId } from '../ids';
 
-/** Names of the policies; see `policies.ts`. */
+/** Names of the routing policies; see `policies.ts`. */
 export type RoutingPolicyName =
   | 'round-robin'
   | 'random'
@@ -13,43 +13,44 @@
   | 'bounded-affinity'
   | 'affinity';
 
+/** Tuning of routing; see {@link ROUTING_DEFAULTS}. */
 export interface RoutingOptions {
   readonly policy: RoutingPolicyName;
-  /** How old an engine's load report is when it arrives, milliseconds. */
+  /** Assumed age of an engine's load report on arrival, milliseconds. */
   readonly reportLagMs: number;
-  /** A report's weight against the average of its model halves in this time, milliseconds. */
+  /** Half-life of a report's weight against the average of its model, milliseconds. */
   readonly reportHalfLifeMs: number;
-  /** A group may hold this multiple of the average load before affinity passes it over. */
+  /** `bounded-affinity` skips a group whose load exceeds this multiple of the average. */
   readonly loadBound: number;
-  /** Load, as a share of a batch, that a certain cache hit is worth. */
+  /** Load, as a fraction of a batch, that a certain cache hit outweighs. */
   readonly cacheBonus: number;
-  /** Probability of a hit that a prefix's home groups are given unseen. */
+  /** Least hit probability assumed for the home groups of a prefix, without any cache event. */
   readonly homePrior: number;
-  /** Cost of load beyond a full batch, over that of load within it. */
+  /** Extra cost of load beyond a full batch, relative to load within it. */
   readonly overflowCost: number;
-  /** Prefixes remembered; the least recently used go first. */
+  /** Maximum prefixes kept; the least recently used are evicted first. */
   readonly maxPrefixes: number;
-  /** Belief in a stored prefix halves in this time, milliseconds. */
+  /** Half-life of the probability that a prefix is still cached, milliseconds. */
   readonly cacheHalfLifeMs: number;
-  /** A first token that takes this multiple of the median marks a straggler ... */
+  /** A straggler's time to first token exceeds the median by this factor ... */
   readonly firstTokenFactor: number;
-  /** ... if it is also later by this much, milliseconds. */
+  /** ... and by this difference, milliseconds. */
   readonly firstTokenGapMs: number;
-  /** The same for the time between tokens, which load and cache hits move far less. */
+  /** The same for the time between tokens, which load and cache hits affect far less. */
   readonly interTokenFactor: number;
   readonly interTokenGapMs: number;
-  /** Answers needed before a group is judged by its first tokens. */
+  /** Samples of the time to first token needed before a group can be ejected by it. */
   readonly firstTokenSamples: number;
-  /** Fewer do for the time between tokens: each is an average over an answer. */
+  /** Samples of the time between tokens; fewer suffice, as each is an average over an answer. */
   readonly interTokenSamples: number;
-  /** At most this share of a model's groups is ejected at a time. */
+  /** Maximum share of a model's groups that is ejected at a time. */
   readonly maxEjectedShare: number;
-  /** First ejection, milliseconds; doubles with each further one. */
+  /** Duration of the first ejection, milliseconds; doubles with each further one. */
   readonly ejectionMs: number;
   readonly maxEjectionMs: number;
-  /** Time over which a group that returns gets its full part of the work, milliseconds. */
+  /** Time over which a readmitted group's traffic rises to its full share, milliseconds. */
   readonly rampMs: number;
-  /** Groups of a model are judged this often, milliseconds. */
+  /** Interval at which a model's groups are evaluated for ejection, milliseconds. */
   readonly judgeEveryMs: number;
 }
 
@@ -76,88 +77,95 @@
   judgeEveryMs: 250,
 };
 
-/** Own requests in flight on a group from one instant on. */
+/** This daemon's requests in flight on a group from `at` on. */
 export interface LoadPoint {
   readonly at: MonoTime;
   readonly inFlight: number;
 }
 
-/** A moving average with the number of its samples. */
+/** A moving average and its number of samples. */
 export interface Average {
   value: number;
   samples: number;
 }
 
-/** Own sends to a group and what the group said of others'. */
+/** Load of a group: from this daemon, and from others by the group's load reports. */
 export interface GroupLoad {
   inFlight: number;
-  /** Newest last; bounded. */
+  /** Newest last; bounded in length. */
   readonly history: LoadPoint[];
-  /** Requests of other daemons, by the last report. */
+  /** Requests from other daemons, by the last report. */
   peerLoad: number;
   reportedAt: MonoTime | undefined;
 }
 
-/** All that routing keeps of one group. */
+/** Routing state of one group. */
 export interface GroupState {
   readonly id: GroupId;
   readonly model: ModelId;
-  /** Hash of the id, for rendezvous. */
+  /** Hash of the id, for rendezvous hashing. */
   readonly hash: number;
   maxBatch: number;
   readonly load: GroupLoad;
-  /** Streaming attempts without a first token that found room in the batch, oldest first: when sent. */
+  /**
+   * Send times of streaming attempts that found a free slot and have no first token; oldest first.
+   */
   readonly waiting: Map<AttemptId, MonoTime>;
   readonly firstTokenMs: Average;
   readonly interTokenMs: Average;
-  /** Time between tokens over the median of its model; 1 unless it is clearly slower. */
+  /** Time between tokens relative to the median of the model; 1 unless it is clearly slower. */
   slowness: number;
   ejections: number;
   ejectedUntil: MonoTime | undefined;
-  /** Last sequence number of its cache events. */
+  /** Sequence number of the last cache event applied. */
   cacheSeq: number;
-  /** Times that events were missing. */
+  /** Gaps seen in the sequence numbers. */
   cacheGaps: number;
   lastSeen: MonoTime;
 }
 
-/** What all groups of one model share. */
+/** Routing state of one model. */
 export interface ModelState {
-  /** Turn of round robin. */
+  /** Position of the `round-robin` policy. */
   roundRobinIndex: number;
   nextEvaluationAt: MonoTime;
-  /** Average load of other daemons per group. */
+  /** Average load per group from other daemons. */
   meanPeerLoad: number;
 }
 
+/** An attempt in flight. */
 export interface AttemptState {
   readonly group: GroupId;
   readonly sentAt: MonoTime;
-  /** Whether the group was believed to have room in its batch, so that no queueing is measured. */
-  readonly hadRoom: boolean;
+  /**
+   * Whether a slot in the batch was estimated to be free, so that the latency has no queueing in
+   * it.
+   */
+  readonly hadFreeSlot: boolean;
   readonly streams: boolean;
   firstTokenAt: MonoTime | undefined;
 }
 
-/** A belief that a group holds a prefix, as of an instant. */
+/** Probability that a group has a prefix cached, as of `at`. */
 export interface CacheEstimate {
   readonly probability: number;
   readonly at: MonoTime;
-  /** Gaps in the group's events by then. */
+  /** The group's `cacheGaps` at that time. */
   readonly gaps: number;
 }
 
 /**
- * State of routing. A mutable record that one loop owns: functions change it in place and hand it
- * back (see `docs/ROUTING.md` for the measurement behind that).
+ * State of routing, owned by one event loop: functions update it in place and return it (see
+ * `docs/ROUTING.md` for the measurement behind that).
  */
 export interface RoutingState {
   readonly opts: RoutingOptions;
   readonly groups: Map<GroupId, GroupState>;
   readonly models: Map<ModelId, ModelState>;
   readonly attempts: Map<AttemptId, AttemptState>;
-  /** By affinity key, least recently used first. */
+  /** Cache estimates by affinity key, least recently used first. */
   readonly prefixes: Map<string, Map<GroupId, CacheEstimate>>;
+  /** Calls of `chooseGroup` that had a candidate; triggers the sweep of removed groups. */
   choices: number;
 }
 
@@ -172,39 +180,43 @@
   readonly organisation: OrganisationId;
 }
 
+/** Result of a choice; `group` is `undefined` if there is no candidate. */
 export interface Route {
   readonly state: RoutingState;
   readonly group: RoutableGroup | undefined;
 }
 
+/** An attempt was sent to a group. */
 export interface SentEvent {
   readonly attempt: AttemptId;
   readonly group: GroupId;
-  /** Whether the answer is streamed. A whole answer's first byte says nothing of its first token. */
+  /** Whether the answer is streamed; only then does its first byte show the time to first token. */
   readonly streams?: boolean;
-  /** The same as for the choice; remembered as probably cached from now on. */
+  /** The keys given to `chooseGroup`; treated as probably cached from now on. */
   readonly prefixKeys?: readonly string[];
   readonly organisation?: OrganisationId;
 }
 
+/** An attempt received its first token. */
 export interface FirstTokenEvent {
   readonly attempt: AttemptId;
 }
 
+/** An attempt ended. */
 export interface EndEvent {
   readonly attempt: AttemptId;
-  /** Chunks or tokens received; left out or 0 for an answer that was not streamed. */
+  /** Chunks or tokens received; omitted or 0 for an answer that was not streamed. */
   readonly tokens?: number;
 }
 
-/** What an engine said of its load, as of `reportLagMs` ago. */
+/** Load reported by an engine, `reportLagMs` old on arrival. */
 export interface LoadReport {
   readonly group: GroupId;
   readonly inFlight: number;
   readonly queued: number;
 }
 
-/** One entry of an engine's cache log. */
+/** One cache event of an engine. */
 export interface CacheEvent {
   readonly seq: number;
   readonly kind: 'stored' | 'evicted';
@@ -212,6 +224,7 @@
   readonly prefix: string;
 }
 
+/** A batch of cache events of one group. */
 export interface CacheEvents {
   readonly group: GroupId;
   readonly events: readonly CacheEvent[];
--- a/tests/fuzz/routing.ts
+++ b/tests/fuzz/routing.ts
@@ -1,4 +1,4 @@
-/** Stateful fuzzing of routing against an oracle that only counts. */
+/** Model-based fuzzing of routing against an oracle that only counts attempts. */
 
 import fc from 'fast-check';
 
@@ -19,7 +19,7 @@
 import type { FuzzOptions } from './options';
 import { at, routableGroup, seeded } from './admission-fixtures';
 
-/** What the oracle knows: the groups of attempts in flight, and the time. */
+/** The model: the group of each attempt in flight, and the time. */
 interface Oracle {
   readonly sent: Map<string, string>;
   now: number;
@@ -45,21 +45,24 @@
 function action(text: string, step: (oracle: Oracle, system: System) => void): Action {
   const run = (oracle: Oracle, system: System): void => {
     step(oracle, system);
-    followUp(oracle, system);
+    checkInvariants(oracle, system);
   };
   return { check: () => true, run, toString: () => text };
 }
 
-/** What must hold after every step. */
-function followUp(oracle: Oracle, { state }: System): void {
+/** Invariants that hold after every step. */
+function checkInvariants(oracle: Oracle, { state }: System): void {
   for (const [id, group] of state.groups) {
     const own = [...oracle.sent.values()].filter((sentTo) => sentTo === id).length;
-    check(group.load.inFlight === own, `in flight on ${id}: ${group.load.inFlight} for ${own}`);
-    check(group.load.peerLoad >= 0, 'others hold less than nothing');
-    check(group.waiting.size <= own, 'more attempts wait than are in flight');
+    check(
+      group.load.inFlight === own,
+      `in flight on ${id}: ${group.load.inFlight}, expected ${own}`,
+    );
+    check(group.load.peerLoad >= 0, 'the load of other daemons is negative');
+    check(group.waiting.size <= own, 'more attempts await a first token than are in flight');
   }
-  check(state.attempts.size === oracle.sent.size, 'attempts that are over are still held');
-  check(state.prefixes.size <= MAX_PREFIXES, 'more prefixes than the bound');
+  check(state.attempts.size === oracle.sent.size, 'attempts that ended are still tracked');
+  check(state.prefixes.size <= MAX_PREFIXES, 'more prefixes are kept than the limit');
   const ejected = [...state.groups.values()].filter(({ ejectedUntil }) => {
     return ejectedUntil !== undefined && ejectedUntil > oracle.now;
   });
@@ -86,10 +89,13 @@
     const org = brandAs<OrganisationId>(organisation);
     const req = { groups, exclude, prefixKeys: keys, organisation: org };
     const { group } = chooseGroup(state, req, at(oracle.now, seeded(oracle.seq)));
-    const open = send.offered.filter((id) => !stale.includes(id) && !tried.includes(id));
-    check((group === undefined) === (open.length === 0), 'no group though one is open');
+    const available = send.offered.filter((id) => !stale.includes(id) && !tried.includes(id));
+    check(
+      (group === undefined) === (available.length === 0),
+      'no group was chosen although one is available',
+    );
     if (group === undefined) return;
-    check(open.includes(group.id), 'a group that is not open was chosen');
+    check(available.includes(group.id), 'a stale or already tried group was chosen');
     oracle.seq += 1;
     const attempt = brandAs<AttemptId>(`a${oracle.seq}`);
     const event = { attempt, group: group.id, streams: true, prefixKeys: keys, organisation: org };
@@ -112,8 +118,8 @@
   });
 }
 
-function passAction(ms: number): Action {
-  return action(`pass(${ms})`, (oracle) => {
+function advanceAction(ms: number): Action {
+  return action(`advance(${ms})`, (oracle) => {
     oracle.now += ms;
   });
 }
@@ -155,14 +161,14 @@
     })
     .map(sendAction),
   fc.tuple(fc.nat(30), fc.boolean()).map(([pick, ends]) => attemptAction(pick, ends)),
-  fc.integer({ min: 0, max: 5_000 }).map(passAction),
+  fc.integer({ min: 0, max: 5_000 }).map(advanceAction),
   fc.tuple(NAME, fc.nat(20)).map(([id, inFlight]) => reportAction(id, inFlight)),
   fc
     .tuple(NAME, fc.nat(20), fc.constantFrom('stored' as const, 'evicted' as const), KEY)
     .map(([id, seq, kind, key]) => cacheAction(id, seq, kind, key)),
 ];
 
-/** Throws with the seed and the shortest history found when something does not hold. */
+/** Throws with the seed and the shrunk sequence of steps if an invariant is violated. */
 export function fuzzRouting({ seed, runs }: FuzzOptions): void {
   const property = fc.property(
     fc.constantFrom(...POLICIES),
--- a/tests/routing.test.ts
+++ b/tests/routing.test.ts
@@ -1,3 +1,5 @@
+/** Routing: candidates, load estimates, prefix affinity and ejection of stragglers. */
+
 import { describe, expect, test } from 'vitest';
 
 import { brandAs } from '../src/core/ids';
@@ -49,8 +51,8 @@
   onEnd(state, event, at(now));
 }
 
-/** Share of choices that each group gets. */
-function spread(state: RoutingState, opts: ChooseOptions, n = 1_000): Map<string, number> {
+/** Share of `n` choices that each group gets. */
+function choiceShares(state: RoutingState, opts: ChooseOptions, n = 1_000): Map<string, number> {
   const random = seeded(7);
   const counts = new Map<string, number>();
   for (let i = 0; i < n; i++) {
@@ -60,8 +62,8 @@
   return counts;
 }
 
-describe('which groups may be chosen', () => {
-  test('never one that was tried, nor one whose observations are stale', () => {
+describe('candidates', () => {
+  test('excludes groups that were tried or are no longer routable', () => {
     const state = createRouting();
     const stale = routableGroup('g2', { routableUntil: brandAs<MonoTime>(5) });
     const groups = [routableGroup('g1'), stale];
@@ -70,7 +72,7 @@
   });
 
   test.each(['round-robin', 'random', 'least-in-flight', 'two-choices', 'affinity'] as const)(
-    '%s chooses a group that is offered',
+    '%s chooses the only candidate left',
     (policy) => {
       const state = createRouting({ policy });
       const exclude = ['g1', 'g2', 'g3'];
@@ -80,14 +82,14 @@
 });
 
 describe('load', () => {
-  test('two choices never take the fuller group of the two', () => {
+  test('two-choices never takes the more loaded of the two groups', () => {
     const state = createRouting({ policy: 'two-choices' });
     choose(state);
     for (let i = 0; i < 4; i++) send(state, `x${i}`, 'g1');
-    expect(spread(state, {}).get('g1') ?? 0).toBe(0);
+    expect(choiceShares(state, {}).get('g1') ?? 0).toBe(0);
   });
 
-  test("a report adds the others' requests and does not count our own twice", () => {
+  test('a report adds the requests of other daemons and does not count own ones twice', () => {
     const state = createRouting({ policy: 'two-choices', reportLagMs: 100 });
     choose(state);
     for (let i = 0; i < 4; i++) send(state, `x${i}`, 'g1', 0);
@@ -96,7 +98,7 @@
     expect(load).toMatchObject({ inFlight: 4, peerLoad: 3 });
   });
 
-  test('a report older than our sends does not hide them', () => {
+  test('a report older than own sends does not hide them', () => {
     const state = createRouting({ reportLagMs: 100 });
     choose(state);
     onLoadReport(state, { group: brandAs<GroupId>('g1'), inFlight: 0, queued: 0 }, at(10));
@@ -106,7 +108,7 @@
     expect(load).toMatchObject({ inFlight: 4, peerLoad: 2 });
   });
 
-  test('an attempt that ends twice is counted out once', () => {
+  test('an attempt that ends twice is subtracted once', () => {
     const state = createRouting();
     choose(state);
     send(state, 'x', 'g1');
@@ -118,60 +120,60 @@
 });
 
 describe('affinity', () => {
-  test('requests with the same prefix go to the same few groups', () => {
+  test('requests with the same prefix go to at most two groups', () => {
     const state = createRouting();
-    expect(spread(state, { keys: ['k'] }).size).toBeLessThanOrEqual(2);
+    expect(choiceShares(state, { keys: ['k'] }).size).toBeLessThanOrEqual(2);
   });
 
-  test('the same prefix of another organisation has an affinity of its own', () => {
+  test('the same prefix of another organisation has its own affinity', () => {
     const state = createRouting();
     const homes = Array.from({ length: 20 }, (_, i) =>
-      [...spread(state, { keys: ['k'], organisation: `o${i}` }, 50).keys()].toSorted().join(),
+      [...choiceShares(state, { keys: ['k'], organisation: `o${i}` }, 50).keys()].toSorted().join(),
     );
     expect(new Set(homes).size).toBeGreaterThan(1);
   });
 
-  test('a group beyond the load bound is passed over', () => {
+  test('a group beyond the load bound is skipped', () => {
     const state = createRouting({ loadBound: 1.25 });
-    const [home = ''] = spread(state, { keys: ['k'] }).keys();
+    const [home = ''] = choiceShares(state, { keys: ['k'] }).keys();
     for (let i = 0; i < 8; i++) send(state, `x${i}`, home);
-    expect(spread(state, { keys: ['k'] }).get(home) ?? 0).toBe(0);
+    expect(choiceShares(state, { keys: ['k'] }).get(home) ?? 0).toBe(0);
   });
 
-  test('cache events decide between equally loaded groups, and an eviction takes it back', () => {
+  test('cache events decide between equally loaded groups, and an eviction reverts that', () => {
     const state = createRouting();
-    const [one = '', other = ''] = [...spread(state, { keys: ['k'] }).keys()];
+    const [one = '', other = ''] = [...choiceShares(state, { keys: ['k'] }).keys()];
     const prefix = affinityKey(ORGANISATION, 'k');
     const stored = { seq: 1, kind: 'stored', prefix } as const;
     onCacheEvents(state, { group: brandAs<GroupId>(one), events: [stored] }, at(0));
-    expect(spread(state, { keys: ['k'] }).get(one)).toBeCloseTo(1);
+    expect(choiceShares(state, { keys: ['k'] }).get(one)).toBeCloseTo(1);
     const evicted = { seq: 2, kind: 'evicted', prefix } as const;
     onCacheEvents(state, { group: brandAs<GroupId>(one), events: [evicted] }, at(0));
-    expect(spread(state, { keys: ['k'] }).get(other)).toBeGreaterThan(0.3);
+    expect(choiceShares(state, { keys: ['k'] }).get(other)).toBeGreaterThan(0.3);
   });
 
-  test('a gap in the events halves what was believed', () => {
+  test('a gap in the events halves the hit probability', () => {
     const state = createRouting();
     choose(state);
     const prefix = affinityKey(ORGANISATION, 'k');
     const group = brandAs<GroupId>('g1');
     onCacheEvents(state, { group, events: [{ seq: 1, kind: 'stored', prefix }] }, at(0));
-    const held = () => {
+    const current = () => {
       const known = state.groups.get(group);
       return known === undefined ? 0 : hitProbability(state, prefix, known, brandAs<MonoTime>(0));
     };
-    const before = held();
+    const before = current();
     onCacheEvents(state, { group, events: [{ seq: 2, kind: 'stored', prefix: 'p' }] }, at(0));
-    expect(held()).toBe(before);
+    expect(current()).toBe(before);
     onCacheEvents(state, { group, events: [{ seq: 4, kind: 'stored', prefix: 'q' }] }, at(0));
-    expect(held()).toBeCloseTo(before / 2);
+    expect(current()).toBeCloseTo(before / 2);
   });
 });
 
 describe('stragglers', () => {
-  const JUDGED = { policy: 'two-choices', firstTokenGapMs: 500 } as const;
+  const OPTIONS = { policy: 'two-choices', firstTokenGapMs: 500 } as const;
 
-  /** One answer from each group; `slow` ones take ten times as long. */
+  /** One answer from each group; those of `slow` groups take ten times as long. */
   function round(state: RoutingState, slow: readonly string[], start: number): void {
     for (const { id } of GROUPS) send(state, `${id}-${start}`, id, start);
     for (const { id } of GROUPS) {
@@ -181,7 +183,7 @@
   }
 
   function afterRounds(slow: readonly string[]): RoutingState {
-    const state = createRouting(JUDGED);
+    const state = createRouting(OPTIONS);
     choose(state);
     for (let i = 0; i < 10; i++) round(state, slow, i * 1_000);
     return state;
@@ -191,11 +193,11 @@
     return [...state.groups.values()].filter((g) => g.ejectedUntil !== undefined).map((g) => g.id);
   }
 
-  test('one is ejected, returns step by step and is then in good standing', () => {
+  test('a straggler is ejected, gradually readmitted and then back at its full share', () => {
     const state = afterRounds(['g2']);
     expect(ejected(state)).toEqual(['g2']);
     const until = state.groups.get(brandAs<GroupId>('g2'))?.ejectedUntil ?? 0;
-    const shareAt = (now: number) => spread(state, { now }).get('g2') ?? 0;
+    const shareAt = (now: number) => choiceShares(state, { now }).get('g2') ?? 0;
     expect(shareAt(until - 1)).toBe(0);
     const early = shareAt(until + 1);
     expect(early).toBeGreaterThan(0);
@@ -204,8 +206,8 @@
     expect(ejected(state)).toEqual([]);
   });
 
-  test('a group that is slower, but no outlier, counts as fuller than it is', () => {
-    const state = createRouting(JUDGED);
+  test('a group that is slower, but no outlier, counts as more loaded than it is', () => {
+    const state = createRouting(OPTIONS);
     choose(state);
     for (let i = 0; i < 5; i++) {
       for (const { id } of GROUPS) {
@@ -218,14 +220,14 @@
       choose(state, { now: i * 1_000 + 900 });
     }
     expect(ejected(state)).toEqual([]);
-    expect(spread(state, { now: 5_000 }).get('g2') ?? 0).toBe(0);
+    expect(choiceShares(state, { now: 5_000 }).get('g2') ?? 0).toBe(0);
   });
 
-  test('no more than the allowed share is ejected, however many are slow', () => {
+  test('at most the allowed share of groups is ejected, however many are slow', () => {
     expect(ejected(afterRounds(['g3', 'g4']))).toHaveLength(1);
   });
 
-  test('groups that are out count although they are not offered for the moment', () => {
+  test('ejected groups count towards the allowed share even when they are not offered', () => {
     const state = afterRounds(['g2']);
     const offered = GROUPS.filter(({ id }) => id !== 'g2');
     for (let i = 0; i < 10; i++) {
@@ -239,13 +241,13 @@
     expect(ejected(state)).toEqual(['g2']);
   });
 
-  test('an ejected group is still used when no other is left', () => {
+  test('an ejected group is used when no other is left', () => {
     const state = afterRounds(['g2']);
     expect(choose(state, { exclude: ['g1', 'g3', 'g4'], now: 9_500 })).toBe('g2');
   });
 
-  test('a whole answer that takes long is no late first token', () => {
-    const state = createRouting(JUDGED);
+  test('a slow answer that is not streamed does not count as a late first token', () => {
+    const state = createRouting(OPTIONS);
     choose(state);
     for (let i = 0; i < 10; i++) round(state, [], i * 1_000);
     for (let i = 0; i < 20; i++) {
@@ -257,8 +259,8 @@
     expect(ejected(state)).toEqual([]);
   });
 
-  test('a group that answers nothing is found out by the wait of its oldest request', () => {
-    const state = createRouting(JUDGED);
+  test('a group that answers nothing is detected by the wait of its oldest request', () => {
+    const state = createRouting(OPTIONS);
     choose(state);
     for (let i = 0; i < 10; i++) round(state, [], i * 1_000);
     send(state, 'hangs', 'g3', 10_000);
