--- a/src/core/admission/admission.ts
+++ b/src/core/admission/admission.ts
@@ -1,7 +1,7 @@
 /**
- * Admission: lets a request in, has it wait for a slot, or refuses it at once with when to come
- * back. Pure but for its state, a record that one loop owns and that every function changes in
- * place and hands back. Each operation takes O(log n) of the requests and organisations it holds.
+ * Admission control: admits a request, queues it for a slot, or refuses it at once with a retry
+ * time. No I/O: every function updates the state in place and returns it. The state belongs to one
+ * event loop. Each operation takes O(log n) of the requests and organisations held.
  */
 
 import type { ModelId, MonoTime, RequestId } from '../ids';
@@ -41,6 +41,7 @@
   Verdict,
 } from './types';
 
+/** The initial state, without capacity, with options that override {@link ADMISSION_DEFAULTS}. */
 export function createAdmission(opts: Partial<AdmissionOptions> = {}): AdmissionState {
   return {
     opts: { ...ADMISSION_DEFAULTS, ...opts },
@@ -53,7 +54,7 @@
 
 /** Decides on a new request. Its id must not be in use. */
 export function admit(state: AdmissionState, req: AdmissionRequest, ctx: RandomContext): Admission {
-  // A model without capacity so far gets no entry of its own from callers naming it.
+  // Not stored: callers that name a model without capacity must not create a pool for it.
   const pool = state.pools.get(req.model) ?? createPool(req.model);
   const policy = ADMISSION_POLICIES[state.opts.policy];
   const refused: RefusedRequest[] = [];
@@ -62,8 +63,8 @@
 }
 
 /**
- * The request is over, was cancelled, or was given up. Frees its slot or its place in the queue; a
- * request that is not held is passed over.
+ * Frees the slot or the queue entry of a request that ended, was cancelled or was aborted. An
+ * unknown id is ignored.
  */
 export function release(state: AdmissionState, id: RequestId, ctx: RandomContext): QueueUpdate {
   const entry = state.entries.get(id);
@@ -75,8 +76,8 @@
 }
 
 /**
- * Refuses queued requests whose deadline can no longer be met, and those that wait for capacity
- * which is overdue. To be called at `nextExpiry`.
+ * Refuses queued requests whose deadline can no longer be met, and those that wait for overdue
+ * capacity. Call it at the instant given by `nextExpiry`.
  */
 export function expire(state: AdmissionState, ctx: RandomContext): QueueUpdate {
   const refused: RefusedRequest[] = [];
@@ -90,14 +91,14 @@
   return { state, admitted: [], refused };
 }
 
-/** When `expire` next has something to do. */
+/** When `expire` is due next; `undefined` if nothing is queued. */
 export function nextExpiry(state: AdmissionState): MonoTime | undefined {
   let earliest: MonoTime | undefined;
   for (const pool of state.pools.values()) {
     const first = peek(pool.byStartBy)?.startBy;
     if (first === undefined) continue;
-    const due = overdueAt(state, pool);
-    const at = due === undefined || first < due ? first : due;
+    const overdue = overdueAt(state, pool);
+    const at = overdue === undefined || first < overdue ? first : overdue;
     if (earliest === undefined || at < earliest) earliest = at;
   }
   return earliest;
@@ -105,7 +106,7 @@
 
 /**
  * Sets the slots of a model on this daemon. Without slots, queued requests stay only if capacity is
- * expected in time for them (`expectedAt`).
+ * expected (`expectedAt`) before their latest start.
  */
 export function setCapacity(
   state: AdmissionState,
@@ -117,15 +118,16 @@
   const pool = poolOf(state, model);
   pool.slots = slots;
   pool.expectedAt = slots > 0 ? undefined : expectedAt;
-  const settled = slots > 0 ? fillSlots(state, pool, ctx) : refuseWithoutCapacity(state, pool, ctx);
+  const queueUpdate =
+    slots > 0 ? fillSlots(state, pool, ctx) : refuseWithoutCapacity(state, pool, ctx);
   const isEmpty = pool.running === 0 && pool.queued === 0;
   if (slots === 0 && expectedAt === undefined && isEmpty) state.pools.delete(model);
-  return settled;
+  return queueUpdate;
 }
 
 function poolOf(state: AdmissionState, model: ModelId): Pool {
-  const known = state.pools.get(model);
-  if (known !== undefined) return known;
+  const existing = state.pools.get(model);
+  if (existing !== undefined) return existing;
   const pool = createPool(model);
   state.pools.set(model, pool);
   return pool;
@@ -138,14 +140,14 @@
   policy: AdmissionPolicy,
 ): Entry {
   state.seq += 1;
-  const neededMs = policy.refusesEarly ? serviceMs(pool, req.estimateMs) : 0;
+  const serviceTimeMs = policy.refusesEarly ? serviceMs(pool, req.estimateMs) : 0;
   return {
     req,
     pool,
     account: accountOf(pool, req, policy),
     seq: state.seq,
     bucket: policy.bucketOf(req),
-    startBy: later(req.deadline, -neededMs),
+    startBy: later(req.deadline, -serviceTimeMs),
     startedAt: undefined,
   };
 }
@@ -160,12 +162,13 @@
   const { req, pool } = entry;
   if (req.deadline <= ctx.now)
     return refuse('deadline-passed', estimatedWaitMs(state, entry, ctx), state.opts, ctx);
-  const broken = exceededLimit(state, req);
-  if (broken !== undefined) {
-    return refuse(broken, serviceMs(pool, req.estimateMs), state.opts, ctx);
+  const exceeded = exceededLimit(state, req);
+  if (exceeded !== undefined) {
+    return refuse(exceeded, serviceMs(pool, req.estimateMs), state.opts, ctx);
   }
   if (pool.running < pool.slots) {
-    // Nothing waits while a slot is free, so even a request that may be late takes no one's place.
+    // The queue is empty while a slot is free, so even a request that may be late displaces no
+    // other.
     track(state, entry, policy, ctx.now);
     takeSlot(pool, entry, ctx.now, state.opts);
     return { kind: 'admitted' };
@@ -173,10 +176,10 @@
   const reason = queueRefusalReason(state, entry, policy, ctx);
   if (reason !== undefined) return refuse(reason, retryAfterMs(state, entry, ctx), state.opts, ctx);
   if (isFull(state, pool)) {
-    const given = selectVictim(entry, policy);
-    if (given === undefined)
+    const victim = selectVictim(entry, policy);
+    if (victim === undefined)
       return refuse('queue-full', estimatedWaitMs(state, entry, ctx), state.opts, ctx);
-    refused.push(refuseQueued(state, given, 'displaced', ctx));
+    refused.push(refuseQueued(state, victim, 'displaced', ctx));
   }
   track(state, entry, policy, ctx.now);
   addQueued(pool, entry, policy, state.opts);
--- a/src/core/admission/held.ts
+++ b/src/core/admission/held.ts
@@ -1,4 +1,4 @@
-/** The requests that admission holds, and how those in a queue leave it. */
+/** Tracks the requests that admission holds, and admits or refuses queued ones. */
 
 import type { MonoTime, RequestId } from '../ids';
 import { later } from '../ids';
@@ -18,6 +18,7 @@
   QueueUpdate,
 } from './types';
 
+/** Starts to count a request that was admitted or queued. */
 export function track(
   state: AdmissionState,
   entry: Entry,
@@ -29,12 +30,13 @@
   countInFlight(state, entry.req, 1);
 }
 
+/** Stops counting a request. */
 export function untrack(state: AdmissionState, entry: Entry): void {
   state.entries.delete(entry.req.id);
   countInFlight(state, entry.req, -1);
 }
 
-/** Wait of a request that would join now. */
+/** Wait of a request that would join the queue now, milliseconds. */
 export function estimatedWaitMs(
   { opts }: AdmissionState,
   entry: Entry,
@@ -43,7 +45,7 @@
   return joinWaitMs(entry, { now, opts });
 }
 
-/** Time until the backlog will have shrunk enough for a request like this one. */
+/** Time until the backlog is small enough for a request like this one, milliseconds. */
 export function retryAfterMs(state: AdmissionState, entry: Entry, ctx: RandomContext): number {
   const { pool, startBy } = entry;
   const { now } = ctx;
@@ -51,7 +53,7 @@
   return now + estimatedWaitMs(state, entry, ctx) - startBy;
 }
 
-/** Takes a queued request out and refuses it. */
+/** Removes a request from the queue and refuses it. */
 export function refuseQueued(
   state: AdmissionState,
   entry: Entry,
@@ -60,16 +62,19 @@
 ): RefusedRequest {
   untrack(state, entry);
   removeQueued(entry.pool, entry);
-  const isWithout = reason === 'no-capacity';
-  const afterMs = isWithout ? retryAfterMs(state, entry, ctx) : estimatedWaitMs(state, entry, ctx);
+  const hasNoCapacity = reason === 'no-capacity';
+  const afterMs = hasNoCapacity
+    ? retryAfterMs(state, entry, ctx)
+    : estimatedWaitMs(state, entry, ctx);
   return { id: entry.req.id, verdict: refuse(reason, afterMs, state.opts, ctx) };
 }
 
+/** Why a queued request whose latest start has passed is refused. */
 export function expiryReason(entry: Entry, now: MonoTime): RefusalReason {
   return entry.req.deadline <= now ? 'deadline-passed' : 'deadline-unreachable';
 }
 
-/** Gives free slots to queued requests in turn. */
+/** Gives free slots to queued requests in fair-queueing order. */
 export function fillSlots(state: AdmissionState, pool: Pool, ctx: RandomContext): QueueUpdate {
   const admitted: RequestId[] = [];
   const refused: RefusedRequest[] = [];
@@ -87,7 +92,7 @@
   return { state, admitted, refused };
 }
 
-/** Gives up queued requests for which capacity will not be back in time. */
+/** Refuses queued requests whose latest start is before the next expected capacity. */
 export function refuseWithoutCapacity(
   state: AdmissionState,
   pool: Pool,
@@ -102,18 +107,19 @@
   return { state, admitted: [], refused };
 }
 
-/** When those that wait for capacity have waited long enough, if any do. */
+/** When expected capacity is overdue; `undefined` if there is capacity or none is expected. */
 export function overdueAt({ opts }: AdmissionState, pool: Pool): MonoTime | undefined {
   if (pool.slots > 0 || pool.expectedAt === undefined) return undefined;
   return later(pool.expectedAt, opts.expectedGraceMs);
 }
 
+/** Whether the expected capacity of the pool is overdue. */
 export function isOverdue(state: AdmissionState, pool: Pool, now: MonoTime): boolean {
   const at = overdueAt(state, pool);
   return at !== undefined && at <= now;
 }
 
-/** Gives up all that wait for capacity that has not come, and expects none any more. */
+/** Refuses all requests that wait for overdue capacity, and no longer expects it. */
 export function refuseOverdue(
   state: AdmissionState,
   pool: Pool,
--- a/src/core/admission/limits.ts
+++ b/src/core/admission/limits.ts
@@ -1,4 +1,4 @@
-/** Counts of requests in flight, queued ones included, by class and by organisation. */
+/** Limits on requests in flight, including queued ones, by class and by organisation. */
 
 import type { AdmissionRequest, AdmissionState, RefusalReason } from './types';
 
@@ -6,7 +6,7 @@
   return `${req.organisation}\0${req.class.name}`;
 }
 
-/** The limit that one more request would break. */
+/** The limit that one more request would exceed, if any. */
 export function exceededLimit(
   state: AdmissionState,
   req: AdmissionRequest,
--- a/src/core/admission/policies.ts
+++ b/src/core/admission/policies.ts
@@ -1,23 +1,24 @@
 /**
- * The policies of admission, beside their plain baselines. Each says how requests are ordered, what
- * is refused ahead of time, and whether organisations have shares.
+ * Admission policies and the baselines they are compared with. A policy defines the order of
+ * requests, which requests are refused early, and whether organisations have shares.
  */
 
 import type { AdmissionPolicyName, AdmissionRequest, Entry } from './types';
 
 /** Buckets per doubling of worth density. */
 const BUCKETS_PER_OCTAVE = 2;
-/** Buckets of an organisation's queue; the middle one is a density of 1 per second. */
+/** Buckets of an organisation's queue; the middle one holds a worth density of 1 per second. */
 export const BUCKET_COUNT = 64;
 
+/** How requests are ordered and which are refused. */
 export interface AdmissionPolicy {
-  /** Whether organisations take turns by their shares; otherwise all are one. */
+  /** Whether slots are shared between organisations by weight; otherwise all use one account. */
   readonly fair: boolean;
   /** Whether requests may wait for a slot. */
   readonly queues: boolean;
-  /** Whether a request that cannot meet its deadline is refused on arrival or as soon as seen. */
+  /** Whether a request is refused as soon as its deadline is known to be unreachable. */
   readonly refusesEarly: boolean;
-  /** Whether a full queue gives up its least request for a better one. */
+  /** Whether a full queue drops its lowest-ranked request for a higher-ranked one. */
   readonly displaces: boolean;
   /** The bucket of a request; lower ones go first. */
   bucketOf(req: AdmissionRequest): number;
@@ -25,7 +26,7 @@
   before(a: Entry, b: Entry): boolean;
 }
 
-/** Worth a second in a slot, on a logarithmic scale; the densest requests get bucket 0. */
+/** Worth per second of slot time, on a logarithmic scale; the densest requests get bucket 0. */
 function densityBucket(req: AdmissionRequest): number {
   const density = (req.class.worth * 1_000) / req.estimateMs;
   const level = Math.round(Math.log2(density) * BUCKETS_PER_OCTAVE);
@@ -42,8 +43,9 @@
   return a.seq < b.seq;
 }
 
-const ONE_BUCKET = () => 0;
+const singleBucket = () => 0;
 
+/** All policies by name; `first-come` and `limit-only` are baselines. */
 export const ADMISSION_POLICIES: Readonly<Record<AdmissionPolicyName, AdmissionPolicy>> = {
   'fair-worth': {
     fair: true,
@@ -58,7 +60,7 @@
     queues: true,
     refusesEarly: true,
     displaces: true,
-    bucketOf: ONE_BUCKET,
+    bucketOf: singleBucket,
     before: byDeadline,
   },
   'shared-worth': {
@@ -74,7 +76,7 @@
     queues: true,
     refusesEarly: false,
     displaces: false,
-    bucketOf: ONE_BUCKET,
+    bucketOf: singleBucket,
     before: byArrival,
   },
   'limit-only': {
@@ -82,7 +84,7 @@
     queues: false,
     refusesEarly: false,
     displaces: false,
-    bucketOf: ONE_BUCKET,
+    bucketOf: singleBucket,
     before: byArrival,
   },
 };
--- a/src/core/admission/pool.ts
+++ b/src/core/admission/pool.ts
@@ -1,6 +1,6 @@
 /**
- * Slots of one model and whose turn it is: start-time fair queueing over the organisations (Goyal,
- * Vin, Cheng), with time in a slot as the work, charged by estimate and corrected by measurement.
+ * The slots of one model, scheduled by start-time fair queueing over the organisations (Goyal, Vin,
+ * Cheng). Work is time in a slot, charged by estimate and corrected by measurement.
  */
 
 import type { ModelId, MonoTime } from '../ids';
@@ -10,9 +10,10 @@
 import { addWork, createRate } from './rate';
 import type { Account, AdmissionOptions, AdmissionRequest, Entry, Pool } from './types';
 
-/** Weight of the newest measurement of time in a slot. */
+/** Weight of the newest sample in the moving averages of service time. */
 const NEWEST_WEIGHT = 0.02;
 
+/** Creates a pool without slots. */
 export function createPool(model: ModelId): Pool {
   return {
     model,
@@ -33,17 +34,18 @@
   };
 }
 
+/** Queue length relative to the account's share. */
 export function queuedPerShare(account: Account): number {
   return account.queue.size / account.share;
 }
 
-/** The account a request is charged to. */
+/** The account that a request is charged to; created when first used. */
 export function accountOf(pool: Pool, req: AdmissionRequest, policy: AdmissionPolicy): Account {
   const owner = policy.fair ? req.organisation : SHARED_ACCOUNT;
-  const known = pool.accounts.get(owner);
-  if (known !== undefined) {
-    if (policy.fair) setShare(pool, known, req.share);
-    return known;
+  const existing = pool.accounts.get(owner);
+  if (existing !== undefined) {
+    if (policy.fair) setShare(pool, existing, req.share);
+    return existing;
   }
   const share = policy.fair ? req.share : 1;
   const account: Account = {
@@ -58,7 +60,7 @@
   return account;
 }
 
-/** Owner of all requests where organisations have no shares. */
+/** Owner of the only account of a policy without shares. */
 const SHARED_ACCOUNT = '' as AdmissionRequest['organisation'];
 
 function setShare(pool: Pool, account: Account, share: number): void {
@@ -68,30 +70,30 @@
   update(pool.byQueueLength, account);
 }
 
-/** Counts the work of a request that was let in, at once or into the queue. */
+/** Adds the work of an admitted or queued request to the arrival rates. */
 export function countArrival(
   { pool, account, bucket, req }: Entry,
   policy: AdmissionPolicy,
   now: MonoTime,
   memoryMs: number,
 ): void {
-  const ofBucket = bucketAt(account.queue, bucket, policy).arrivals;
-  for (const rate of [pool.arrivals, account.arrivals, ofBucket]) {
+  const bucketRate = bucketAt(account.queue, bucket, policy).arrivals;
+  for (const rate of [pool.arrivals, account.arrivals, bucketRate]) {
     addWork(rate, req.estimateMs, now, memoryMs);
   }
 }
 
 /**
- * Start tag of the account's next request. One that used less than its share may lie behind the
- * virtual time, and so goes first, but not by more than the credit.
+ * Start tag of the account's next request. An account that used less than its share may be behind
+ * the virtual time, and so goes first, but by no more than its credit.
  */
 export function startTag(pool: Pool, account: Account, opts: AdmissionOptions): number {
-  const known = pool.backloggedShare > 0 ? pool.backloggedShare : account.share;
-  const credit = (opts.creditMs * pool.slots) / known;
+  const totalShare = pool.backloggedShare > 0 ? pool.backloggedShare : account.share;
+  const credit = (opts.creditMs * pool.slots) / totalShare;
   return Math.max(account.start, pool.virtualTime - credit);
 }
 
-/** Puts a request into its account's queue. */
+/** Adds a request to its account's queue. */
 export function addQueued(
   pool: Pool,
   entry: Entry,
@@ -113,7 +115,7 @@
   push(pool.byQueueLength, account);
 }
 
-/** Takes a request out of its account's queue. */
+/** Removes a request from its account's queue. */
 export function removeQueued(pool: Pool, entry: Entry): void {
   const { account } = entry;
   dequeue(account.queue, entry);
@@ -129,7 +131,7 @@
   pool.backloggedShare = pool.queued === 0 ? 0 : pool.backloggedShare - account.share;
 }
 
-/** The queued request whose turn it is. */
+/** The queued request that gets the next slot. */
 export function nextQueued(pool: Pool): Entry | undefined {
   const account = peek(pool.byStartTag);
   return account && headEntry(account.queue);
@@ -147,7 +149,7 @@
   update(pool.byStartTag, account);
 }
 
-/** Frees the slot and corrects the charge by the time it was really held. */
+/** Frees the slot and corrects the charge to the time for which it was held. */
 export function freeSlot(pool: Pool, entry: Entry, startedAt: MonoTime, now: MonoTime): void {
   const { account, req } = entry;
   const heldMs = now - startedAt;
@@ -155,10 +157,10 @@
   account.running -= 1;
   account.start += (heldMs - req.estimateMs) / account.share;
   update(pool.byStartTag, account);
-  learn(pool, heldMs, req.estimateMs);
+  updateAverages(pool, heldMs, req.estimateMs);
 }
 
-function learn(pool: Pool, heldMs: number, estimateMs: number): void {
+function updateAverages(pool: Pool, heldMs: number, estimateMs: number): void {
   const weight = pool.meanEstimateMs === 0 ? 1 : NEWEST_WEIGHT;
   pool.meanServiceMs += weight * (heldMs - pool.meanServiceMs);
   pool.meanEstimateMs += weight * (estimateMs - pool.meanEstimateMs);
--- a/src/core/admission/refusal.ts
+++ b/src/core/admission/refusal.ts
@@ -1,4 +1,4 @@
-/** Refusals: what is said and when to come back. */
+/** Builds refusals: the error code of each reason and the time of a retry. */
 
 import type { MonoTime } from '../ids';
 import { later } from '../ids';
@@ -15,18 +15,21 @@
   displaced: 'overloaded',
 };
 
-/** Refuses, to come back in `afterMs` or a little later; the spread keeps callers apart. */
+/**
+ * Refuses with a retry time of at least `afterMs` from now, jittered so that callers do not retry
+ * together.
+ */
 export function refuse(
   reason: RefusalReason,
   afterMs: number,
   opts: AdmissionOptions,
   { now, random }: RandomContext,
 ): Refused {
-  const atLeast = Math.max(
+  const delayMs = Math.max(
     opts.minRetryMs,
     Number.isFinite(afterMs) ? afterMs : opts.noCapacityRetryMs,
   );
-  const spread = 1 + opts.retryJitter * random.next();
-  const retryAt: MonoTime = later(now, atLeast * spread);
+  const jitterFactor = 1 + opts.retryJitter * random.next();
+  const retryAt: MonoTime = later(now, delayMs * jitterFactor);
   return { kind: 'refused', code: CODES[reason], reason, retryAt };
 }
--- a/src/core/admission/shedding.ts
+++ b/src/core/admission/shedding.ts
@@ -1,4 +1,4 @@
-/** What cannot be served in time, and what gives way to what. */
+/** Load shedding: which requests cannot be served in time, and which are dropped for others. */
 
 import type { RandomContext } from '../random';
 import { capacityAt, queuedWaitMs } from './estimate';
@@ -9,7 +9,7 @@
 import { lastBucketHead, lastBucketTail } from './queue';
 import type { AdmissionState, Entry, Pool, RefusalReason, RefusedRequest } from './types';
 
-/** Why a request may not even wait, if so. */
+/** Why a request may not be queued; `undefined` if it may. */
 export function queueRefusalReason(
   state: AdmissionState,
   entry: Entry,
@@ -18,32 +18,39 @@
 ): RefusalReason | undefined {
   if (!policy.queues) return 'queue-full';
   const { now } = ctx;
-  const from = capacityAt(entry.pool, now);
-  if (from === undefined) return 'no-capacity';
+  const availableAt = capacityAt(entry.pool, now);
+  if (availableAt === undefined) return 'no-capacity';
   if (!policy.refusesEarly) return undefined;
-  if (from > now) return from > entry.startBy ? 'no-capacity' : undefined;
-  const wait = estimatedWaitMs(state, entry, ctx) * state.opts.waitSafety;
-  return now + wait > entry.startBy ? 'deadline-unreachable' : undefined;
+  if (availableAt > now) return availableAt > entry.startBy ? 'no-capacity' : undefined;
+  const waitMs = estimatedWaitMs(state, entry, ctx) * state.opts.waitSafety;
+  return now + waitMs > entry.startBy ? 'deadline-unreachable' : undefined;
 }
 
+/** Whether the queue of the model is at its limit. */
 export function isFull({ opts }: AdmissionState, pool: Pool): boolean {
   return pool.queued >= Math.max(opts.minQueue, pool.slots * opts.queuePerSlot);
 }
 
-/** The queued request that gives way to this one in a full queue, if any should. */
+/**
+ * The queued request to drop for this one in a full queue, if any: one of the organisation with the
+ * longest queue for its share, else a less dense one of the same organisation.
+ */
 export function selectVictim(entry: Entry, policy: AdmissionPolicy): Entry | undefined {
   if (!policy.displaces) return undefined;
   const { pool, account } = entry;
-  const fullest = peek(pool.byQueueLength);
-  if (fullest !== undefined && fullest !== account) {
+  const longest = peek(pool.byQueueLength);
+  if (longest !== undefined && longest !== account) {
     const ownAfter = (account.queue.size + 1) / account.share;
-    if (ownAfter <= queuedPerShare(fullest)) return lastBucketTail(fullest.queue);
+    if (ownAfter <= queuedPerShare(longest)) return lastBucketTail(longest.queue);
   }
-  const ownWorst = lastBucketTail(account.queue);
-  return ownWorst !== undefined && ownWorst.bucket > entry.bucket ? ownWorst : undefined;
+  const ownTail = lastBucketTail(account.queue);
+  return ownTail !== undefined && ownTail.bucket > entry.bucket ? ownTail : undefined;
 }
 
-/** Gives up the least dense requests of the account that can no longer be in time. */
+/**
+ * Refuses the account's least dense requests that can no longer meet their deadline now that
+ * `added` is queued.
+ */
 export function shedUnreachable(
   state: AdmissionState,
   added: Entry,
--- a/src/core/admission/types.ts
+++ b/src/core/admission/types.ts
@@ -1,33 +1,39 @@
-/** What admission takes in, keeps and gives back. */
+/** Options, requests, verdicts and state of admission. */
 
 import type { CallerClass } from '../config/types';
 import type { ModelId, MonoTime, OrganisationId, RequestId } from '../ids';
 
-/** Names of the policies; see `policies.ts`. */
+/** Names of the admission policies; see `policies.ts`. */
 export type AdmissionPolicyName =
   'fair-worth' | 'fair-deadline' | 'shared-worth' | 'first-come' | 'limit-only';
 
+/** Tuning of admission; see {@link ADMISSION_DEFAULTS}. */
 export interface AdmissionOptions {
   readonly policy: AdmissionPolicyName;
-  /** Queued requests per slot of a model, all organisations together. */
+  /** Maximum queued requests per slot of a model, over all organisations. */
   readonly queuePerSlot: number;
-  /** Least bound of a model's queue, whatever its slots. */
+  /** Lower bound of a model's queue limit, however few slots it has. */
   readonly minQueue: number;
-  /** Requests in flight, queued ones included, of one organisation on this daemon. */
+  /** Maximum requests in flight, including queued ones, of one organisation on this daemon. */
   readonly organisationLimit: number;
-  /** An organisation that used less than its share may make up for this much time, milliseconds. */
+  /** Slot time that an organisation below its share may catch up on, milliseconds. */
   readonly creditMs: number;
-  /** Arrivals are remembered for about this long, to foresee denser ones, milliseconds. */
+  /**
+   * Time constant of the arrival rates that predict denser requests, milliseconds; 0 disables them.
+   */
   readonly arrivalMemoryMs: number;
-  /** The estimated wait is multiplied by this before it is held against the deadline. */
+  /** Factor on the estimated wait before it is compared with the deadline. */
   readonly waitSafety: number;
-  /** Least time after which a refused caller should come back, milliseconds. */
+  /** Minimum time until a refused caller should retry, milliseconds. */
   readonly minRetryMs: number;
-  /** Retry times are spread by up to this share. */
+  /** Maximum jitter of a retry time, as a fraction of it. */
   readonly retryJitter: number;
-  /** When to come back where a model has no capacity and none is expected, milliseconds. */
+  /** Time until a retry for a model without capacity, if none is expected, milliseconds. */
   readonly noCapacityRetryMs: number;
-  /** How late expected capacity may be before those that wait for it are refused, milliseconds. */
+  /**
+   * How late expected capacity may be before the requests that wait for it are refused,
+   * milliseconds.
+   */
   readonly expectedGraceMs: number;
 }
 
@@ -45,17 +51,17 @@
   expectedGraceMs: 500,
 };
 
-/** A request that asks to be let in. */
+/** A request for admission. */
 export interface AdmissionRequest {
   readonly id: RequestId;
   readonly organisation: OrganisationId;
   readonly class: CallerClass;
-  /** The organisation's share of capacity relative to others; above 0. */
+  /** Weight of the organisation's share of capacity, relative to other organisations; above 0. */
   readonly share: number;
   readonly model: ModelId;
-  /** The answer is worth nothing after this. */
+  /** An answer after this has no worth. */
   readonly deadline: MonoTime;
-  /** Expected time in a slot, milliseconds; above 0. */
+  /** Estimated time in a slot, milliseconds; above 0. */
   readonly estimateMs: number;
 }
 
@@ -67,65 +73,69 @@
   | 'no-capacity'
   | 'deadline-unreachable'
   | 'deadline-passed'
-  /** Given up for a request of greater worth, or of an organisation below its share. */
+  /** Dropped for a request of greater worth, or of an organisation below its share. */
   | 'displaced';
 
+/** Error code that a refused caller gets. */
 export type RefusalCode = 'too-many-requests' | 'overloaded' | 'deadline-exceeded';
 
+/** The request got a slot. */
 export interface Admitted {
   readonly kind: 'admitted';
 }
 
+/** The request waits for a slot. */
 export interface Queued {
   readonly kind: 'queued';
 }
 
+/** Refused, with the error code for the caller and the reason for logs and metrics. */
 export interface Refused {
   readonly kind: 'refused';
   readonly code: RefusalCode;
   readonly reason: RefusalReason;
-  /** When a new try may do better; jittered. */
+  /** Earliest instant at which a retry may succeed; jittered. */
   readonly retryAt: MonoTime;
 }
 
 export type Verdict = Admitted | Queued | Refused;
 
-/** A queued request that is given up now. */
+/** A queued request that was refused in this step. */
 export interface RefusedRequest {
   readonly id: RequestId;
   readonly verdict: Refused;
 }
 
-/** What became of queued requests in a step. */
+/** Queued requests that were admitted or refused in a step. */
 export interface QueueUpdate {
   readonly state: AdmissionState;
-  /** Queued before, admitted now; in this order. */
+  /** Previously queued requests that were admitted, in this order. */
   readonly admitted: readonly RequestId[];
-  /** Queued before, refused now. */
+  /** Previously queued requests that were refused. */
   readonly refused: readonly RefusedRequest[];
 }
 
-/** The verdict on a new request, and what it meant for queued ones. */
+/** The verdict on a new request, and its effect on queued ones. */
 export interface Admission extends QueueUpdate {
   readonly verdict: Verdict;
 }
 
-/** A request that holds a slot or waits for one. */
+/** A request that has a slot or waits for one. */
 export interface Entry {
   readonly req: AdmissionRequest;
   readonly pool: Pool;
   readonly account: Account;
-  /** Order of arrival. */
+  /** Arrival order. */
   readonly seq: number;
-  /** Which of the organisation's buckets holds it; lower ones go first. */
+  /** Index of its bucket in the organisation's queue; lower ones are served first. */
   readonly bucket: number;
-  /** Last instant at which it may get a slot. */
+  /** Latest start: the last instant at which it may get a slot. */
   readonly startBy: MonoTime;
   /** When it got its slot; `undefined` while queued. */
   startedAt: MonoTime | undefined;
 }
 
-/** One organisation's dealings with one model. */
+/** Queue and usage of one organisation for one model. */
 export interface Account {
   readonly organisation: OrganisationId;
   readonly queue: OrganisationQueue;
@@ -133,39 +143,42 @@
   /** Start tag of its next request, in milliseconds of work per unit of share. */
   start: number;
   running: number;
-  /** Work that comes in, all buckets together. */
+  /** Arrival rate over all buckets. */
   readonly arrivals: Rate;
 }
 
 /** Queued requests of one organisation, by bucket and deadline. */
 export interface OrganisationQueue {
-  /** Sparse: a bucket is made when first used. */
+  /** Sparse: a bucket is created when first used. */
   readonly buckets: (Bucket | undefined)[];
   size: number;
 }
 
+/** Queued requests of similar worth density. */
 export interface Bucket {
   readonly entries: Heap<Entry>;
   /** Estimated work of its entries, milliseconds. */
   workMs: number;
-  /** Work that comes in for it, queued or not. */
+  /** Arrival rate of its requests, queued or admitted at once. */
   readonly arrivals: Rate;
 }
 
-/** Work that comes in per millisecond: a sum that fades. */
+/** Arrival rate in work per millisecond, as an exponentially decaying sum. */
 export interface Rate {
   value: number;
+  /** When `value` was last updated. */
   at: MonoTime;
 }
 
-/** A binary heap from which any item can be taken. */
+/** A binary heap from which any item can be removed. */
 export interface Heap<T> {
   readonly items: T[];
+  /** Index of each item in `items`. */
   readonly places: Map<T, number>;
   readonly before: (a: T, b: T) => boolean;
 }
 
-/** Capacity of one model on this daemon, and who has and wants it. */
+/** Slots of one model on this daemon, and the requests that have or wait for them. */
 export interface Pool {
   readonly model: ModelId;
   slots: number;
@@ -177,23 +190,23 @@
   backloggedShare: number;
   /** Virtual time: the greatest start tag of a request that got a slot. */
   virtualTime: number;
-  /** Moving averages of the time in a slot, measured and as estimated, milliseconds. */
+  /** Moving averages of the measured and the estimated service time, milliseconds. */
   meanServiceMs: number;
   meanEstimateMs: number;
-  /** Work that comes in, all organisations together. */
+  /** Arrival rate over all organisations. */
   readonly arrivals: Rate;
-  /** When capacity is expected again; only while there is none. */
+  /** When capacity is expected again; set only while there is none. */
   expectedAt: MonoTime | undefined;
   readonly accounts: Map<OrganisationId, Account>;
-  /** Organisations with queued requests, by start tag. */
+  /** Accounts with queued requests, by start tag. */
   readonly byStartTag: Heap<Account>;
-  /** The same, the longest queue for its share first. */
+  /** The same, by queue length for their share, longest first. */
   readonly byQueueLength: Heap<Account>;
-  /** All queued entries, by the last instant at which they may start. */
+  /** All queued entries, by latest start. */
   readonly byStartBy: Heap<Entry>;
 }
 
-/** State of admission. A mutable record that one loop owns; see `docs/ADMISSION.md`. */
+/** State of admission, updated in place by one event loop; see `docs/ADMISSION.md`. */
 export interface AdmissionState {
   readonly opts: AdmissionOptions;
   readonly pools: Map<ModelId, Pool>;
--- a/tests/fuzz/admission-fixtures.ts
+++ b/tests/fuzz/admission-fixtures.ts
@@ -1,4 +1,4 @@
-/** What the tests of admission and routing build their cases from. */
+/** Fixtures for the tests of admission and routing. */
 
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
@@ -22,17 +22,19 @@
 
 export const MODEL = brandAs<ModelId>('model');
 
+/** A deterministic random source. */
 export function seeded(seed: number): Random {
   const generator = xoroshiro128plus(seed);
   return { next: () => uniformInt(generator, 0, RANGE - 1) / RANGE };
 }
 
+/** The context of a call at this time. */
 export function at(now: number, random: Random = seeded(1)): RandomContext {
   return { now: brandAs<MonoTime>(now), random };
 }
 
-export function callerClass(over: Partial<CallerClass> = {}): CallerClass {
-  return { name: 'standard', worth: 1, deadlineMs: 1_000, maxInFlight: 1_000, ...over };
+export function callerClass(overrides: Partial<CallerClass> = {}): CallerClass {
+  return { name: 'standard', worth: 1, deadlineMs: 1_000, maxInFlight: 1_000, ...overrides };
 }
 
 export interface RequestOptions {
@@ -56,7 +58,7 @@
   };
 }
 
-export function routableGroup(id: string, over: Partial<RoutableGroup> = {}): RoutableGroup {
+export function routableGroup(id: string, overrides: Partial<RoutableGroup> = {}): RoutableGroup {
   return {
     id: brandAs<GroupId>(id),
     model: MODEL,
@@ -66,6 +68,6 @@
     members: [],
     maxBatch: 8,
     routableUntil: brandAs<MonoTime>(Number.MAX_SAFE_INTEGER),
-    ...over,
+    ...overrides,
   };
 }
