--- a/src/core/retry/budget.ts
+++ b/src/core/retry/budget.ts
@@ -1,16 +1,18 @@
 /**
- * Retry budget: further attempts as a share of accepted requests, so that a failure that hits many
- * requests at once cannot multiply the load. Each accepted request pays in a share of one attempt;
- * each further attempt takes one out.
+ * Retry budget: limits retries to a share of accepted requests, so that a failure that hits many
+ * requests at once cannot multiply the load. Each accepted request deposits a fraction of a token;
+ * each retry withdraws one.
  */
 
+/** Limits of a retry budget. */
 export interface BudgetOptions {
-  /** Paid in by each accepted request; 0.1 allows one further attempt per ten requests. */
+  /** Tokens deposited by each accepted request; 0.1 allows one retry per ten requests. */
   readonly share?: number;
-  /** Most that can be saved up. */
+  /** Maximum number of tokens. */
   readonly burst?: number;
 }
 
+/** State of a retry budget: a token bucket that requests refill. */
 export interface RetryBudget {
   readonly share: number;
   readonly burst: number;
@@ -19,17 +21,18 @@
 
 const DEFAULTS = { share: 0.1, burst: 20 } as const;
 
-/** Starts full, so that the first failures of a new process may be tried again. */
+/** Starts full, so that the first failures after a process start can be retried. */
 export function createBudget(options: BudgetOptions = {}): RetryBudget {
   const { share, burst } = { ...DEFAULTS, ...options };
   return { share, burst, tokens: burst };
 }
 
+/** Deposits the tokens of one accepted request. */
 export function deposit(budget: RetryBudget): RetryBudget {
   return { ...budget, tokens: Math.min(budget.burst, budget.tokens + budget.share) };
 }
 
-/** Undefined if nothing is left to take. */
+/** Withdraws the token of one retry; `undefined` if there is none. */
 export function tryWithdraw(budget: RetryBudget): RetryBudget | undefined {
   return budget.tokens < 1 ? undefined : { ...budget, tokens: budget.tokens - 1 };
 }
--- a/src/core/retry/decide.ts
+++ b/src/core/retry/decide.ts
@@ -1,4 +1,4 @@
-/** What may be tried again, and when. */
+/** Decides whether a failed attempt is retried, and when. */
 
 import { later } from '../ids';
 import type { MonoTime } from '../ids';
@@ -7,17 +7,17 @@
 /**
  * How an attempt failed.
  *
- * - `not-sent`: no byte left, as when no connection could be made.
- * - `refused`: the backend server said that it did not run it.
- * - `wrong-group`: refused, since the server belongs to another group or epoch by now.
- * - `lost`: sent, and the connection broke or the answer was not whole.
- * - `bad-answer`: an answer came that is not this attempt's, or an error of the server's own.
- * - `given-up`: the caller went away or the deadline passed.
+ * - `not-sent`: no byte was sent, for example because no connection could be made.
+ * - `refused`: the backend server reported that it did not run the request.
+ * - `wrong-group`: refused because the server now belongs to another group or epoch.
+ * - `lost`: sent, but the connection broke or the answer was incomplete.
+ * - `bad-answer`: the answer belongs to another attempt or reports a server error.
+ * - `given-up`: the caller disconnected or the deadline passed.
  */
 export type AttemptFailure =
   'not-sent' | 'refused' | 'wrong-group' | 'lost' | 'bad-answer' | 'given-up';
 
-/** What an attempt that failed so means for the submission's exposure. */
+/** Whether a request may have run on a backend server, by how its attempt failed. */
 export const EXPOSURE_BY_FAILURE: Readonly<Record<Exclude<AttemptFailure, 'given-up'>, Exposure>> =
   {
     'not-sent': 'none',
@@ -27,28 +27,28 @@
     'bad-answer': 'exposed',
   };
 
-/** How each failure is treated. */
+/** Retry rule of one kind of failure. */
 interface RetryRule {
-  readonly again: 'always' | 'if-repeatable' | 'never';
-  /** Whether another attempt adds load to backend servers and so comes out of the budget. */
-  readonly costs: boolean;
+  readonly retry: 'always' | 'if-repeatable' | 'never';
+  /** Whether another attempt adds load to backend servers and so needs the retry budget. */
+  readonly usesBudget: boolean;
 }
 
 const RULES: Readonly<Record<AttemptFailure, RetryRule>> = {
-  'not-sent': { again: 'always', costs: false },
-  refused: { again: 'always', costs: true },
-  'wrong-group': { again: 'always', costs: false },
-  lost: { again: 'if-repeatable', costs: true },
-  'bad-answer': { again: 'if-repeatable', costs: true },
-  'given-up': { again: 'never', costs: false },
+  'not-sent': { retry: 'always', usesBudget: false },
+  refused: { retry: 'always', usesBudget: true },
+  'wrong-group': { retry: 'always', usesBudget: false },
+  lost: { retry: 'if-repeatable', usesBudget: true },
+  'bad-answer': { retry: 'if-repeatable', usesBudget: true },
+  'given-up': { retry: 'never', usesBudget: false },
 };
 
-/** What is known when an attempt has failed. */
+/** A failed attempt and its request. */
 export interface RetryFacts {
   readonly failure: AttemptFailure;
-  /** Whether running it twice does no harm. */
+  /** Whether the request may safely run twice. */
   readonly repeatable: boolean;
-  /** Whether the caller has got a part of the answer. */
+  /** Whether a part of the answer was already sent to the caller. */
   readonly started: boolean;
   /** Attempts made so far. */
   readonly attempts: number;
@@ -56,35 +56,38 @@
   readonly deadline: MonoTime;
 }
 
+/** Time, randomness and budget of a decision. */
 export interface RetryContext {
   readonly now: MonoTime;
-  /** In [0, 1). */
+  /** Random number in [0, 1) for the jitter of the delay. */
   readonly chance: number;
-  /** Takes one further attempt out of the budget; false if none is left. */
+  /** Withdraws one retry from the budget; false if it is exhausted. */
   readonly withdraw: () => boolean;
 }
 
+/** Bounds of the exponential backoff, milliseconds. */
 export interface RetryDelays {
   readonly firstMs: number;
   readonly maxMs: number;
 }
 
+/** Retry at `at`, or the reason not to. */
 export type RetryDecision =
   | { readonly kind: 'again'; readonly at: MonoTime }
   | { readonly kind: 'stop'; readonly why: 'not-allowed' | 'attempts' | 'deadline' | 'budget' };
 
-/** Half of the delay is fixed and half is left to chance, so that callers do not come in step. */
+/** Exponential backoff, milliseconds; half of it is random, so that retries do not synchronise. */
 export function retryDelayMs(attempts: number, delays: RetryDelays, chance: number): number {
-  const grown = Math.min(delays.maxMs, delays.firstMs * 2 ** (attempts - 1));
-  return grown * (0.5 + chance / 2);
+  const backoffMs = Math.min(delays.maxMs, delays.firstMs * 2 ** (attempts - 1));
+  return backoffMs * (0.5 + chance / 2);
 }
 
 function isAllowed(rule: RetryRule, facts: RetryFacts): boolean {
-  if (facts.started || rule.again === 'never') return false;
-  return rule.again === 'always' || facts.repeatable;
+  if (facts.started || rule.retry === 'never') return false;
+  return rule.retry === 'always' || facts.repeatable;
 }
 
-/** Decides on another attempt. The budget is asked last, so that nothing is withdrawn in vain. */
+/** Decides on a retry. The budget is checked last, so that only a retry that happens uses it. */
 export function decideRetry(
   facts: RetryFacts,
   delays: RetryDelays,
@@ -95,6 +98,6 @@
   if (facts.attempts >= facts.maxAttempts) return { kind: 'stop', why: 'attempts' };
   const at = later(ctx.now, retryDelayMs(facts.attempts, delays, ctx.chance));
   if (at >= facts.deadline) return { kind: 'stop', why: 'deadline' };
-  if (rule.costs && !ctx.withdraw()) return { kind: 'stop', why: 'budget' };
+  if (rule.usesBudget && !ctx.withdraw()) return { kind: 'stop', why: 'budget' };
   return { kind: 'again', at };
 }
--- a/src/core/retry/isolate.ts
+++ b/src/core/retry/isolate.ts
@@ -1,4 +1,4 @@
-/** Where requests may go while some are under suspicion of crashing groups. */
+/** Restricts which groups requests may use while some requests are suspected of crashing groups. */
 
 import type { RoutableGroup } from '../groups/types';
 import type { Fingerprint } from '../ids';
@@ -7,21 +7,21 @@
 import { jointSuspects, probedGroups, countRunsOn, struckDomains, suspicionOf } from './quarantine';
 import type { QuarantineContext, QuarantineState } from './quarantine-types';
 
-/** The groups for which `fits` holds, or all if it holds for none. */
-function preferring(
+/** The groups for which `isPreferred` holds, or all if it holds for none. */
+function preferGroups(
   groups: readonly RoutableGroup[],
-  fits: (group: RoutableGroup) => boolean,
+  isPreferred: (group: RoutableGroup) => boolean,
 ): readonly RoutableGroup[] {
-  const fitting = groups.filter(fits);
-  return fitting.length > 0 ? fitting : groups;
+  const preferred = groups.filter(isPreferred);
+  return preferred.length > 0 ? preferred : groups;
 }
 
 /**
- * The group that a suspect gets for itself. Each of those blamed together takes the group that its
- * hash points to, or the next that is free; so daemons agree on it without a word, and one that has
- * not heard of some suspects yet is wrong about few others.
+ * The group that a suspect gets to itself. Each of the joint suspects takes the group at its hash,
+ * or the next one not taken. So daemons agree without communication, and a daemon that lacks some
+ * suspects assigns few of the others wrongly.
  */
-function ownGroup(
+function assignedGroup(
   suspects: readonly Fingerprint[],
   fingerprint: Fingerprint,
   groups: readonly RoutableGroup[],
@@ -30,38 +30,38 @@
   const taken = new Set<number>();
   for (const suspect of suspects) {
     if (taken.size === ordered.length) taken.clear();
-    let place = hashText(suspect) % ordered.length;
-    while (taken.has(place)) place = (place + 1) % ordered.length;
-    if (suspect === fingerprint) return ordered[place];
-    taken.add(place);
+    let index = hashText(suspect) % ordered.length;
+    while (taken.has(index)) index = (index + 1) % ordered.length;
+    if (suspect === fingerprint) return ordered[index];
+    taken.add(index);
   }
   return undefined;
 }
 
 /**
- * For a suspect: a domain that it has not struck; there a group of its own if it is one of several,
- * else the quietest group without a suspect.
+ * Groups for a suspect, in a domain where it has no strike if possible: a group of its own if it is
+ * one of several joint suspects, else the groups with the fewest runs and no suspect.
  */
-function openToSuspect(
+function groupsForSuspect(
   state: QuarantineState,
   fingerprint: Fingerprint,
   groups: readonly RoutableGroup[],
   ctx: QuarantineContext,
 ): readonly RoutableGroup[] {
   const struck = struckDomains(state, fingerprint, ctx);
-  const elsewhere = preferring(groups, ({ domain }) => !struck.has(domain));
+  const unstruck = preferGroups(groups, ({ domain }) => !struck.has(domain));
   const suspects = jointSuspects(state, fingerprint);
-  if (elsewhere.length > 0 && suspects.length > 1) {
-    const own = ownGroup(suspects, fingerprint, elsewhere);
-    return own === undefined ? elsewhere : [own];
+  if (unstruck.length > 0 && suspects.length > 1) {
+    const assigned = assignedGroup(suspects, fingerprint, unstruck);
+    return assigned === undefined ? unstruck : [assigned];
   }
   const probed = probedGroups(state);
-  const alone = preferring(elsewhere, ({ id }) => !probed.has(id));
-  const least = Math.min(...alone.map(({ id }) => countRunsOn(state, id)));
-  return alone.filter(({ id }) => countRunsOn(state, id) === least);
+  const withoutSuspect = preferGroups(unstruck, ({ id }) => !probed.has(id));
+  const fewestRuns = Math.min(...withoutSuspect.map(({ id }) => countRunsOn(state, id)));
+  return withoutSuspect.filter(({ id }) => countRunsOn(state, id) === fewestRuns);
 }
 
-/** Of the groups, those to which the request may go; never none, if there is any. */
+/** The groups that the request may use; never empty unless `groups` is. */
 export function allowedGroups(
   state: QuarantineState,
   fingerprint: Fingerprint,
@@ -69,8 +69,8 @@
   ctx: QuarantineContext,
 ): readonly RoutableGroup[] {
   if (suspicionOf(state, fingerprint, ctx) !== 'clear') {
-    return openToSuspect(state, fingerprint, groups, ctx);
+    return groupsForSuspect(state, fingerprint, groups, ctx);
   }
   const probed = probedGroups(state);
-  return probed.size === 0 ? groups : preferring(groups, ({ id }) => !probed.has(id));
+  return probed.size === 0 ? groups : preferGroups(groups, ({ id }) => !probed.has(id));
 }
--- a/src/core/retry/quarantine-types.ts
+++ b/src/core/retry/quarantine-types.ts
@@ -1,28 +1,29 @@
-/** What quarantine takes in and keeps. */
+/** Options, strikes and state of quarantine. */
 
 import type { AttemptId, DomainId, EpochTime, Fingerprint, GroupId, MonoTime } from '../ids';
 
+/** Tuning of quarantine; see {@link QUARANTINE_DEFAULTS}. */
 export interface QuarantineOptions {
-  /** Strikes on different groups at which a request is refused. */
+  /** Number of strikes on different groups at which a request is refused. */
   readonly limit: number;
   /**
-   * A request that crashes groups does so at about the same point of its run. Strikes whose ages
-   * differ by more than this factor do not add up to the limit; one strike more does.
+   * A request that crashes groups does so at about the same point of its run. If the ages of its
+   * strikes differ by more than this factor, one strike more than `limit` is needed.
    */
   readonly ageFactor: number;
-  /** Ages are held to be this much longer, so that short ones may differ, milliseconds. */
+  /** Added to ages before they are compared, so that short ones may differ, milliseconds. */
   readonly ageSlackMs: number;
   /** How long a strike counts, milliseconds. */
   readonly retentionMs: number;
-  /** A torn run and the loss of its group belong together within this time, milliseconds. */
-  readonly blameMs: number;
-  /** Groups lost within this time are lost together, milliseconds; strikes wait as long. */
+  /** Maximum time between an interrupted run and the loss of its group, milliseconds. */
+  readonly attributionWindowMs: number;
+  /** Groups lost within this time are lost together; strikes stay pending as long, milliseconds. */
   readonly correlationWindowMs: number;
-  /** So many groups of one domain lost together are a fault of the domain. */
+  /** Number of groups of one domain lost together that count as a fault of the domain. */
   readonly domainFaultGroups: number;
-  /** So many groups lost together, of whatever domains, are no request's fault. */
+  /** Number of groups lost together, in any domains, that count as no request's fault. */
   readonly wideFaultGroups: number;
-  /** Fingerprints remembered at most; those whose strikes end first go first. */
+  /** Maximum fingerprints kept; those whose strikes expire first are evicted first. */
   readonly maxFingerprints: number;
 }
 
@@ -31,85 +32,87 @@
   ageFactor: 2.5,
   ageSlackMs: 300,
   retentionMs: 10 * 60_000,
-  blameMs: 3_000,
+  attributionWindowMs: 3_000,
   correlationWindowMs: 1_000,
   domainFaultGroups: 2,
   wideFaultGroups: 3,
   maxFingerprints: 10_000,
 };
 
-/** A group was lost while, or just after, it ran the request. */
+/** Records that a group was lost while it ran a request, or just after. */
 export interface Strike {
   readonly fingerprint: Fingerprint;
   readonly group: GroupId;
   readonly domain: DomainId;
-  /** Whether the request was a suspect already; if one was, those that were not are left alone. */
+  /** Whether the request was already a suspect; then only suspects get a strike for this loss. */
   readonly suspect: boolean;
-  /** How long the request had run when its connection broke, milliseconds. */
+  /** Run time of the request when its connection broke, milliseconds. */
   readonly ageMs: number;
   readonly at: EpochTime;
   readonly until: EpochTime;
 }
 
-/** A strike that counts once it is clear that not many groups were lost together. */
+/** A strike that counts unless the loss turns out to have another cause. */
 export interface PendingStrike extends Strike {
+  /** When the strike is decided. */
   readonly dueAt: MonoTime;
-  /** Whether this daemon saw it, rather than a peer. */
+  /** Whether this daemon observed it rather than a peer. */
   readonly isOwn: boolean;
 }
 
-/** Strikes whose time to be decided on has come. */
+/** Pending strikes that were decided. */
 export interface DecidedStrikes {
-  readonly counting: readonly PendingStrike[];
-  /** Groups were lost together: these never count. */
+  readonly confirmed: readonly PendingStrike[];
+  /** These never count: groups were lost together, or a suspect explains the loss. */
   readonly dropped: readonly PendingStrike[];
 }
 
-/** An attempt on a group. */
+/** An attempt that runs on a group. */
 export interface Run {
   readonly attempt: AttemptId;
   readonly fingerprint: Fingerprint;
   readonly group: GroupId;
   readonly domain: DomainId;
-  /** Whether it was under suspicion when it was sent. */
+  /** Whether the request was a suspect when it was sent. */
   readonly suspect: boolean;
   readonly startedAt: MonoTime;
 }
 
 /** A run whose connection broke. */
 export interface InterruptedRun extends Run {
-  readonly tornAt: MonoTime;
+  readonly interruptedAt: MonoTime;
 }
 
+/** A group that was lost. */
 export interface LostGroup {
   readonly group: GroupId;
   readonly domain: DomainId | undefined;
   readonly at: MonoTime;
-  /** The same instant, to be held against strikes of peers. */
+  /** The same instant as wall-clock time, to compare with strikes of peers. */
   readonly epochAt: EpochTime;
-  /** The group's domain is known to be dark. */
+  /** Whether the whole domain of the group is known to have failed. */
   readonly domainDark: boolean;
 }
 
-/** `suspect`: to be tried alone; `quarantined`: to be refused. */
+/** `suspect`: to be run on a group without other requests; `quarantined`: to be refused. */
 export type Suspicion = 'clear' | 'suspect' | 'quarantined';
 
-/** State of quarantine. A mutable record that one loop owns. */
+/** State of quarantine, updated in place by one event loop. */
 export interface QuarantineState {
   readonly opts: QuarantineOptions;
-  /** Strikes that count, by fingerprint and group. */
+  /** Confirmed strikes, by fingerprint and group. */
   readonly strikes: Map<Fingerprint, Map<GroupId, Strike>>;
   pending: PendingStrike[];
-  /** Strikes of late, whatever became of them. */
+  /** Recent strikes, whether or not they were confirmed; kept for twice `attributionWindowMs`. */
   recent: Strike[];
   readonly running: Map<AttemptId, Run>;
-  torn: InterruptedRun[];
+  interrupted: InterruptedRun[];
   lost: LostGroup[];
 }
 
-/** What a decision here may know. */
+/** Current time of a decision. */
 export interface QuarantineContext {
   readonly now: MonoTime;
-  /** For strikes, which are shared between daemons. */
+  /** Wall-clock time, used for strikes because daemons share them. */
   readonly epoch: EpochTime;
 }
--- a/src/core/retry/quarantine.ts
+++ b/src/core/retry/quarantine.ts
@@ -1,8 +1,9 @@
 /**
- * Requests that crash the groups that run them. A request gets a strike when the group that ran it
- * was lost; groups lost together are a fault of their domain or wider and give none. A request with
- * one strike is a suspect: it is tried alone, in another domain. One with strikes on `limit`
- * different groups is refused. A suspect that gives a whole answer is cleared.
+ * Quarantine of requests that crash the groups that run them. A request gets a strike when a group
+ * is lost while it runs there; groups lost together indicate a fault of their domain or beyond,
+ * which gives no strike. A request with one strike is a suspect: it runs without other requests on
+ * its group, in another domain. With strikes on `limit` different groups it is refused. A complete
+ * answer clears a suspect.
  */
 
 import type { AttemptId, DomainId, Fingerprint, GroupId, MonoTime } from '../ids';
@@ -20,6 +21,7 @@
   InterruptedRun,
 } from './quarantine-types';
 
+/** The initial state, with options that override {@link QUARANTINE_DEFAULTS}. */
 export function createQuarantine(opts: Partial<QuarantineOptions> = {}): QuarantineState {
   return {
     opts: { ...QUARANTINE_DEFAULTS, ...opts },
@@ -27,12 +29,12 @@
     pending: [],
     recent: [],
     running: new Map(),
-    torn: [],
+    interrupted: [],
     lost: [],
   };
 }
 
-function countingStrikes(
+function unexpiredStrikes(
   state: QuarantineState,
   fingerprint: Fingerprint,
   { epoch }: QuarantineContext,
@@ -41,69 +43,71 @@
   return strikes.filter(({ until }) => until > epoch);
 }
 
-function ownStrikes(state: QuarantineState, fingerprint: Fingerprint): readonly Strike[] {
-  const certain = [...(state.strikes.get(fingerprint)?.values() ?? [])];
-  return [...certain, ...state.pending.filter((strike) => strike.fingerprint === fingerprint)];
+function strikesOf(state: QuarantineState, fingerprint: Fingerprint): readonly Strike[] {
+  const confirmed = [...(state.strikes.get(fingerprint)?.values() ?? [])];
+  return [...confirmed, ...state.pending.filter((strike) => strike.fingerprint === fingerprint)];
 }
 
-/** While it is open whether a domain failed, all its groups together count as one. */
+/** Domains of the request's pending strikes; until decided, strikes in one domain count as one. */
 function pendingDomains(state: QuarantineState, fingerprint: Fingerprint): ReadonlySet<DomainId> {
   const own = state.pending.filter((strike) => strike.fingerprint === fingerprint);
   return new Set(own.map(({ domain }) => domain));
 }
 
-/** Runs that broke and whose groups may yet turn out to be lost. */
-function tornLately(
+/** Interrupted runs of the request whose groups may still turn out to be lost. */
+function recentlyInterrupted(
   state: QuarantineState,
   fingerprint: Fingerprint,
   { now }: QuarantineContext,
 ): readonly InterruptedRun[] {
-  return state.torn.filter(
-    (run) => run.fingerprint === fingerprint && now - run.tornAt < state.opts.blameMs,
+  return state.interrupted.filter(
+    (run) =>
+      run.fingerprint === fingerprint && now - run.interruptedAt < state.opts.attributionWindowMs,
   );
 }
 
-/** Whether the request was about as old each time that a group fell under it. */
+/** Whether the request had run for a similar time each time its group was lost. */
 function agesAgree(state: QuarantineState, fingerprint: Fingerprint): boolean {
   const { ageFactor, ageSlackMs } = state.opts;
-  const ages = ownStrikes(state, fingerprint).map(({ ageMs }) => ageMs + ageSlackMs);
+  const ages = strikesOf(state, fingerprint).map(({ ageMs }) => ageMs + ageSlackMs);
   return Math.max(...ages) <= Math.min(...ages) * ageFactor;
 }
 
+/** Whether a request is a suspect or quarantined. Pending strikes count one per domain. */
 export function suspicionOf(
   state: QuarantineState,
   fingerprint: Fingerprint,
   ctx: QuarantineContext,
 ): Suspicion {
-  const certain = countingStrikes(state, fingerprint, ctx).length;
-  const count = certain + pendingDomains(state, fingerprint).size;
+  const confirmed = unexpiredStrikes(state, fingerprint, ctx).length;
+  const count = confirmed + pendingDomains(state, fingerprint).size;
   const { limit } = state.opts;
   if (count > limit || (count === limit && agesAgree(state, fingerprint))) return 'quarantined';
-  return count > 0 || tornLately(state, fingerprint, ctx).length > 0 ? 'suspect' : 'clear';
+  return count > 0 || recentlyInterrupted(state, fingerprint, ctx).length > 0 ? 'suspect' : 'clear';
 }
 
-/** Own runs on a group. */
+/** Number of this daemon's runs on a group. */
 export function countRunsOn(state: QuarantineState, group: GroupId): number {
   let count = 0;
   for (const run of state.running.values()) if (run.group === group) count += 1;
   return count;
 }
 
-/** When the last strike of a request ends. */
+/** When the last strike of a request expires; `undefined` without a strike. */
 export function quarantinedUntil(
   state: QuarantineState,
   fingerprint: Fingerprint,
 ): Strike['until'] | undefined {
-  const ends = ownStrikes(state, fingerprint).map(({ until }) => until);
+  const ends = strikesOf(state, fingerprint).map(({ until }) => until);
   return ends.sort((a, b) => b - a)[0];
 }
 
 function allStrikes(state: QuarantineState): readonly Strike[] {
-  const certain = [...state.strikes.values()].flatMap((each) => [...each.values()]);
-  return [...certain, ...state.pending];
+  const confirmed = [...state.strikes.values()].flatMap((each) => [...each.values()]);
+  return [...confirmed, ...state.pending];
 }
 
-/** All requests blamed for the latest loss that this one met, itself included; in order. */
+/** All requests with a strike for the latest lost group of this one, including itself; sorted. */
 export function jointSuspects(
   state: QuarantineState,
   fingerprint: Fingerprint,
@@ -117,34 +121,37 @@
   return [...new Set(together.map((strike) => strike.fingerprint))].sort();
 }
 
-/** Domains in which the request has met the loss of a group. */
+/** Domains in which the request has a strike or a recently interrupted run. */
 export function struckDomains(
   state: QuarantineState,
   fingerprint: Fingerprint,
   ctx: QuarantineContext,
 ): ReadonlySet<DomainId> {
-  const certain = [...(state.strikes.get(fingerprint)?.values() ?? [])];
-  const met = [...certain, ...tornLately(state, fingerprint, ctx)].map(({ domain }) => domain);
-  return new Set([...met, ...pendingDomains(state, fingerprint)]);
+  const confirmed = [...(state.strikes.get(fingerprint)?.values() ?? [])];
+  const domains = [...confirmed, ...recentlyInterrupted(state, fingerprint, ctx)].map(
+    ({ domain }) => domain,
+  );
+  return new Set([...domains, ...pendingDomains(state, fingerprint)]);
 }
 
-/** Groups on which a suspect runs now; others should stay away from them. */
+/** Groups on which a suspect runs now; other requests should avoid them. */
 export function probedGroups(state: QuarantineState): ReadonlySet<GroupId> {
   const probed = new Set<GroupId>();
   for (const run of state.running.values()) if (run.suspect) probed.add(run.group);
   return probed;
 }
 
+/** Records that a run started. */
 export function onRunStart(state: QuarantineState, run: Run): void {
   state.running.set(run.attempt, run);
 }
 
-/** The run ended otherwise than by a broken connection. */
+/** Records that a run ended other than by a broken connection. */
 export function onRunEnd(state: QuarantineState, attempt: AttemptId): void {
   state.running.delete(attempt);
 }
 
-/** A suspect gave a whole answer. True if it had strikes. */
+/** Removes a suspect's strikes after a complete answer. True if it had any. */
 export function clearStrikes(state: QuarantineState, fingerprint: Fingerprint): boolean {
   const had = state.strikes.delete(fingerprint);
   const before = state.pending.length;
@@ -152,7 +159,7 @@
   return had || state.pending.length < before;
 }
 
-/** The run's connection broke: if its group is lost as well, that is a strike. */
+/** Records that a run's connection broke; returns the new strike if its group was lost as well. */
 export function onRunInterrupted(
   state: QuarantineState,
   attempt: AttemptId,
@@ -161,40 +168,46 @@
   const run = state.running.get(attempt);
   state.running.delete(attempt);
   if (run === undefined) return [];
-  const torn = { ...run, tornAt: ctx.now };
-  state.torn = state.torn.filter(({ tornAt }) => ctx.now - tornAt < state.opts.blameMs);
-  state.torn.push(torn);
+  const interrupted = { ...run, interruptedAt: ctx.now };
+  state.interrupted = state.interrupted.filter(
+    ({ interruptedAt }) => ctx.now - interruptedAt < state.opts.attributionWindowMs,
+  );
+  state.interrupted.push(interrupted);
   const loss = state.lost.find(
-    ({ group, at }) => group === run.group && ctx.now - at < state.opts.blameMs,
+    ({ group, at }) => group === run.group && ctx.now - at < state.opts.attributionWindowMs,
   );
-  return loss === undefined ? [] : blame(state, [torn], ctx);
+  return loss === undefined ? [] : addStrikes(state, [interrupted], ctx);
 }
 
-/** A group was lost: those that it ran, and whose connections broke, are to blame. */
+/** Records that a group was lost; returns a strike for each run that it interrupted. */
 export function onGroupLost(
   state: QuarantineState,
   { group, domain, domainDark }: Omit<LostGroup, 'at' | 'epochAt'>,
   ctx: QuarantineContext,
 ): readonly Strike[] {
-  const { blameMs } = state.opts;
-  const torn = state.torn.filter((run) => run.group === group && ctx.now - run.tornAt < blameMs);
+  const { attributionWindowMs } = state.opts;
+  const interrupted = state.interrupted.filter(
+    (run) => run.group === group && ctx.now - run.interruptedAt < attributionWindowMs,
+  );
   const loss = { group, domain, domainDark, at: ctx.now, epochAt: ctx.epoch };
-  state.lost = state.lost.filter(({ at }) => ctx.now - at < blameMs);
+  state.lost = state.lost.filter(({ at }) => ctx.now - at < attributionWindowMs);
   state.lost.push(loss);
-  return blame(state, torn, ctx);
+  return addStrikes(state, interrupted, ctx);
 }
 
-/** Blames all that ran; where a suspect was among them, the others are let off when it is decided. */
-function blame(
+/** Adds a pending strike for each run; if a suspect is among them, only suspects are confirmed. */
+function addStrikes(
   state: QuarantineState,
-  torn: readonly InterruptedRun[],
+  interrupted: readonly InterruptedRun[],
   ctx: QuarantineContext,
 ): readonly Strike[] {
   const until = later(ctx.epoch, state.opts.retentionMs);
-  const strikes = torn.map(({ fingerprint, group, domain, suspect, tornAt, startedAt }): Strike => {
-    const ageMs = tornAt - startedAt;
-    return { fingerprint, group, domain, suspect, ageMs, at: ctx.epoch, until };
-  });
+  const strikes = interrupted.map(
+    ({ fingerprint, group, domain, suspect, interruptedAt, startedAt }): Strike => {
+      const ageMs = interruptedAt - startedAt;
+      return { fingerprint, group, domain, suspect, ageMs, at: ctx.epoch, until };
+    },
+  );
   strikes.forEach((strike) => {
     addPending(state, strike, true, ctx);
   });
@@ -207,20 +220,20 @@
   isOwn: boolean,
   { now, epoch }: QuarantineContext,
 ): void {
-  const keptMs = 2 * state.opts.blameMs;
-  state.recent = state.recent.filter(({ at }) => epoch - at < keptMs);
+  const recentMs = 2 * state.opts.attributionWindowMs;
+  state.recent = state.recent.filter(({ at }) => epoch - at < recentMs);
   state.recent.push(strike);
   state.pending.push({ ...strike, isOwn, dueAt: later(now, state.opts.correlationWindowMs) });
 }
 
-/** A peer's strike. A recent one is weighed by what this daemon itself sees of lost groups. */
+/** Applies a peer's strike. A recent one stays pending, to be checked against losses seen here. */
 export function onPeerStrike(state: QuarantineState, strike: Strike, ctx: QuarantineContext): void {
-  const isRecent = ctx.epoch - strike.at < state.opts.blameMs;
+  const isRecent = ctx.epoch - strike.at < state.opts.attributionWindowMs;
   if (isRecent) addPending(state, strike, false, ctx);
   else addStrike(state, strike, ctx);
 }
 
-/** A strike turned out to be no request's fault. */
+/** Removes a strike that turned out not to be the request's fault. */
 export function dropStrike(
   state: QuarantineState,
   { fingerprint, group }: Pick<Strike, 'fingerprint' | 'group'>,
@@ -232,63 +245,66 @@
 }
 
 function lostTogether(state: QuarantineState, strike: Strike): readonly LostGroup[] {
-  const { correlationWindowMs: togetherMs } = state.opts;
-  return state.lost.filter((loss) => Math.abs(loss.epochAt - strike.at) <= togetherMs);
+  const { correlationWindowMs: windowMs } = state.opts;
+  return state.lost.filter((loss) => Math.abs(loss.epochAt - strike.at) <= windowMs);
 }
 
 function distinctGroups(losses: readonly LostGroup[]): number {
   return new Set(losses.map(({ group }) => group)).size;
 }
 
-/** Whether the loss was no single request's doing. */
-function isCommonFault(state: QuarantineState, strike: Strike): boolean {
+/** Whether the loss has a wider cause: a failed domain, or several groups lost together. */
+function hasWiderCause(state: QuarantineState, strike: Strike): boolean {
   const together = lostTogether(state, strike);
-  const isDark = together.some(({ group, domainDark }) => group === strike.group && domainDark);
+  const isDomainDown = together.some(
+    ({ group, domainDark }) => group === strike.group && domainDark,
+  );
   const inDomain = together.filter(({ domain }) => domain === strike.domain);
-  const { domainFaultGroups: domainGroups, wideFaultGroups: wideGroups } = state.opts;
+  const { domainFaultGroups: domainLimit, wideFaultGroups: wideLimit } = state.opts;
   return (
-    isDark || distinctGroups(inDomain) >= domainGroups || distinctGroups(together) >= wideGroups
+    isDomainDown || distinctGroups(inDomain) >= domainLimit || distinctGroups(together) >= wideLimit
   );
 }
 
-/** Whether a suspect ran on the same group, on whichever daemon. */
-function isExplained(state: QuarantineState, { group, suspect, at }: Strike): boolean {
+/** Whether a suspect, sent by any daemon, ran on the same group and so explains the loss. */
+function isCausedBySuspect(state: QuarantineState, { group, suspect, at }: Strike): boolean {
   if (suspect) return false;
-  const { blameMs } = state.opts;
+  const { attributionWindowMs } = state.opts;
   return state.recent.some(
-    (other) => other.suspect && other.group === group && Math.abs(other.at - at) < blameMs,
+    (other) =>
+      other.suspect && other.group === group && Math.abs(other.at - at) < attributionWindowMs,
   );
 }
 
-/** Decides on the strikes that are due. */
+/** Confirms or drops the pending strikes that are due. */
 export function decideDueStrikes(state: QuarantineState, ctx: QuarantineContext): DecidedStrikes {
   const due = state.pending.filter(({ dueAt }) => dueAt <= ctx.now);
-  if (due.length === 0) return { counting: [], dropped: [] };
+  if (due.length === 0) return { confirmed: [], dropped: [] };
   state.pending = state.pending.filter(({ dueAt }) => dueAt > ctx.now);
   const dropped = due.filter(
-    (strike) => isCommonFault(state, strike) || isExplained(state, strike),
+    (strike) => hasWiderCause(state, strike) || isCausedBySuspect(state, strike),
   );
-  const counting = due.filter((strike) => !dropped.includes(strike));
-  for (const { fingerprint, group, domain, suspect, ageMs, at, until } of counting) {
+  const confirmed = due.filter((strike) => !dropped.includes(strike));
+  for (const { fingerprint, group, domain, suspect, ageMs, at, until } of confirmed) {
     addStrike(state, { fingerprint, group, domain, suspect, ageMs, at, until }, ctx);
   }
-  return { counting, dropped };
+  return { confirmed, dropped };
 }
 
-/** When `settleStrikes` next has something to do. */
+/** When `decideDueStrikes` is due next; `undefined` if no strike is pending. */
 export function nextDecisionAt(state: QuarantineState): MonoTime | undefined {
   return state.pending[0]?.dueAt;
 }
 
-function endOf(strikes: ReadonlyMap<GroupId, Strike>): number {
+function expiryOf(strikes: ReadonlyMap<GroupId, Strike>): number {
   return Math.max(...[...strikes.values()].map(({ until }) => until));
 }
 
-/** Forgets what has ended, and then whatever ends first, until there is room. */
-function makeRoom(state: QuarantineState, { epoch }: QuarantineContext): void {
+/** If there are too many fingerprints, removes expired ones, then those with the oldest strikes. */
+function evictFingerprints(state: QuarantineState, { epoch }: QuarantineContext): void {
   if (state.strikes.size <= state.opts.maxFingerprints) return;
   for (const [fingerprint, strikes] of state.strikes) {
-    if (endOf(strikes) <= epoch) state.strikes.delete(fingerprint);
+    if (expiryOf(strikes) <= epoch) state.strikes.delete(fingerprint);
   }
   while (state.strikes.size > state.opts.maxFingerprints) {
     const oldest = state.strikes.keys().next();
@@ -297,11 +313,11 @@
   }
 }
 
-/** Lets a strike count. */
+/** Adds a confirmed strike. */
 function addStrike(state: QuarantineState, strike: Strike, ctx: QuarantineContext): void {
   const known = state.strikes.get(strike.fingerprint) ?? new Map<GroupId, Strike>();
   known.set(strike.group, strike);
   state.strikes.delete(strike.fingerprint);
   state.strikes.set(strike.fingerprint, known);
-  makeRoom(state, ctx);
+  evictFingerprints(state, ctx);
 }
--- a/tests/quarantine.test.ts
+++ b/tests/quarantine.test.ts
@@ -1,4 +1,4 @@
-/** Who is blamed for the loss of a group, and who is not. */
+/** Which requests get a strike when a group is lost, and where suspects may run. */
 
 import { describe, expect, it } from 'vitest';
 
@@ -28,8 +28,8 @@
 
 const group = (id: string) => testGroup(id, 'x', { domain: id.split('-')[0] as never });
 
-/** Runs requests on a group, and has it fall under them. */
-function fall(
+/** Runs requests on a group that is then lost; returns the new strikes. */
+function loseGroup(
   state: QuarantineState,
   id: string,
   fingerprints: readonly Fingerprint[],
@@ -50,40 +50,40 @@
     });
     return attempt;
   });
-  const torn = attempts.flatMap((attempt) => onRunInterrupted(state, attempt, at(ms)));
+  const strikes = attempts.flatMap((attempt) => onRunInterrupted(state, attempt, at(ms)));
   const loss = { group: id as GroupId, domain, domainDark: false };
-  return [...torn, ...onGroupLost(state, loss, at(ms + 10))];
+  return [...strikes, ...onGroupLost(state, loss, at(ms + 10))];
 }
 
 describe('quarantine', () => {
-  it('refuses a request under which two groups of different domains fell', () => {
+  it('refuses a request after the loss of two groups in different domains', () => {
     const state = createQuarantine();
-    fall(state, 'd1-a', [BAD], 0);
+    loseGroup(state, 'd1-a', [BAD], 0);
     expect(suspicionOf(state, BAD, at(100))).toBe('suspect');
-    fall(state, 'd2-a', [BAD], 500);
+    loseGroup(state, 'd2-a', [BAD], 500);
     expect(suspicionOf(state, BAD, at(600))).toBe('quarantined');
     expect(suspicionOf(state, OTHER, at(600))).toBe('clear');
   });
 
-  it('blames no one when groups of one domain fall together', () => {
+  it('gives no strike when groups of one domain are lost together', () => {
     const state = createQuarantine();
-    fall(state, 'd1-a', [BAD, OTHER], 0);
-    fall(state, 'd1-b', [BAD], 300);
+    loseGroup(state, 'd1-a', [BAD, OTHER], 0);
+    loseGroup(state, 'd1-b', [BAD], 300);
     decideDueStrikes(state, at(5_000));
     expect(suspicionOf(state, BAD, at(9_000))).toBe('clear');
   });
 
-  it('leaves those alone that ran beside a suspect', () => {
+  it('gives no strike to requests that ran beside a suspect', () => {
     const state = createQuarantine();
-    fall(state, 'd1-a', [BAD], 0);
+    loseGroup(state, 'd1-a', [BAD], 0);
     decideDueStrikes(state, at(2_000));
-    fall(state, 'd2-a', [BAD, OTHER], 10_000);
+    loseGroup(state, 'd2-a', [BAD, OTHER], 10_000);
     decideDueStrikes(state, at(12_000));
     expect(suspicionOf(state, BAD, at(20_000))).toBe('quarantined');
     expect(suspicionOf(state, OTHER, at(20_000))).toBe('clear');
   });
 
-  it('does not blame a request for a broken connection alone, or for a loss long after', () => {
+  it('gives no strike for a broken connection alone, or for a loss long after it', () => {
     const state = createQuarantine();
     const run = {
       attempt: 'a' as AttemptId,
@@ -98,25 +98,25 @@
     expect(suspicionOf(state, BAD, at(60_000))).toBe('clear');
   });
 
-  it('wants one group more where the request was of another age each time', () => {
+  it('needs one more strike when the request had run for a different time at each loss', () => {
     const state = createQuarantine();
-    fall(state, 'd1-a', [OTHER], 10_000, 9_000);
+    loseGroup(state, 'd1-a', [OTHER], 10_000, 9_000);
     decideDueStrikes(state, at(12_000));
-    fall(state, 'd2-a', [OTHER], 20_000, 100);
+    loseGroup(state, 'd2-a', [OTHER], 20_000, 100);
     decideDueStrikes(state, at(22_000));
     expect(suspicionOf(state, OTHER, at(30_000))).toBe('suspect');
-    fall(state, 'd3-a', [OTHER], 40_000, 4_000);
+    loseGroup(state, 'd3-a', [OTHER], 40_000, 4_000);
     expect(suspicionOf(state, OTHER, at(40_100))).toBe('quarantined');
   });
 
-  it('counts what peers saw, forgets it in time, and clears who gave a whole answer', () => {
+  it('counts strikes of peers until they expire, and clears a request with a complete answer', () => {
     const state = createQuarantine({ retentionMs: 60_000 });
     const peers = createQuarantine({ retentionMs: 60_000 });
     for (const [id, ms] of [
       ['d1-a', 0],
       ['d2-a', 500],
     ] as const) {
-      fall(peers, id, [BAD], ms).forEach((strike) => {
+      loseGroup(peers, id, [BAD], ms).forEach((strike) => {
         onPeerStrike(state, strike, at(ms + 100));
       });
     }
@@ -128,10 +128,10 @@
     expect(suspicionOf(state, BAD, at(5_000))).toBe('clear');
   });
 
-  it('sends suspects to other domains, each to a group of its own', () => {
+  it('sends joint suspects to other domains, each to its own group', () => {
     const state = createQuarantine();
     const suspects = Array.from({ length: 4 }, (_, i) => `s${i}` as Fingerprint);
-    fall(state, 'd1-a', suspects, 0);
+    loseGroup(state, 'd1-a', suspects, 0);
     const groups = ['d1-b', 'd2-a', 'd2-b', 'd3-a', 'd3-b'].map(group);
     const open = suspects.map((each) => allowedGroups(state, each, groups, at(100)));
     expect(open.every((each) => each.length === 1)).toBe(true);
--- a/tests/retry.test.ts
+++ b/tests/retry.test.ts
@@ -1,4 +1,4 @@
-/** What may be tried again, when, and how often. */
+/** Retry decisions, the retry budget, and the outcome reported without an answer. */
 
 import { describe, expect, it } from 'vitest';
 
@@ -31,7 +31,7 @@
     expect(decide(failure, { repeatable: false })).toBe(once);
   });
 
-  it('never tries again once the caller has a part of the answer', () => {
+  it('never retries once the caller has a part of the answer', () => {
     expect(decide('lost', { started: true })).toBe('stop');
   });
 
@@ -40,17 +40,17 @@
     expect(decide('refused', { deadline: 10 as MonoTime })).toBe('stop');
   });
 
-  it('takes nothing out of the budget for what adds no load, or for what is not allowed', () => {
-    let taken = 0;
-    const ctx = { ...CTX, withdraw: () => (taken += 1) > 0 };
+  it('withdraws nothing from the budget for a retry that adds no load or is not allowed', () => {
+    let withdrawn = 0;
+    const ctx = { ...CTX, withdraw: () => (withdrawn += 1) > 0 };
     decideRetry(facts('not-sent'), DELAYS, ctx);
     decideRetry(facts('lost', { repeatable: false }), DELAYS, ctx);
-    expect(taken).toBe(0);
+    expect(withdrawn).toBe(0);
     decideRetry(facts('lost'), DELAYS, ctx);
-    expect(taken).toBe(1);
+    expect(withdrawn).toBe(1);
   });
 
-  it('waits longer each time, up to a limit, with chance in the second half', () => {
+  it('backs off exponentially up to a limit, with jitter in the second half', () => {
     const delays = [1, 2, 3, 10].map((attempts) => retryDelayMs(attempts, DELAYS, 0));
     expect(delays).toEqual([10, 20, 40, 500]);
     expect(retryDelayMs(1, DELAYS, 0.999)).toBeLessThan(20);
@@ -63,9 +63,9 @@
     let allowed = 0;
     for (let i = 0; i < 1_000; i += 1) {
       budget = deposit(budget);
-      const left = tryWithdraw(budget);
-      if (left === undefined) continue;
-      budget = left;
+      const remaining = tryWithdraw(budget);
+      if (remaining === undefined) continue;
+      budget = remaining;
       allowed += 1;
     }
     expect(allowed).toBeLessThanOrEqual(105);
