--- a/src/core/ledger/claim.ts
+++ b/src/core/ledger/claim.ts
@@ -1,10 +1,10 @@
 /**
- * Life of one claim, as its holder sees it: a reducer without I/O.
+ * Reducer for the lifecycle of one claim, as its holder sees it. No I/O.
  *
- * A claim is a row that is written, on condition that it is absent or released, before the first
- * byte of a request leaves. No one but its holder ever changes it, so that a holder that was paused
- * finds nothing taken over. Whether the holder may still send is decided by `send`, in the tick of
- * the write to the connection; once it was decided to give up, no state leads to sending.
+ * A claim is a row that is written before the first byte of a request is sent, on condition that
+ * the row is absent or released. Only its holder changes it, so a holder that was paused finds its
+ * claim unchanged. The `send` event decides whether the holder may still send, in the same tick as
+ * the write to the connection; after `give-up` no state allows sending.
  */
 
 import { later } from '../ids';
@@ -22,14 +22,15 @@
 
 type ClaimStep = Step<ClaimState, ClaimEffect>;
 
-/** Inserts tried before giving up, where the first ones' answers were lost. */
+/** Failed inserts, by a conflict or a lost answer, after which the claim is abandoned. */
 const MAX_INSERTS = 2;
 const MAX_CLOSING_TRIES = 12;
 const FIRST_WAIT_MS = 100;
 const MAX_WAIT_MS = 20_000;
 
+/** A claim whose insert starts with the `begin` event. */
 export function createClaim(terms: ClaimTerms): ClaimState {
-  return { terms, phase: 'taking', version: 0, isWanted: true, tries: 0, last: undefined };
+  return { terms, phase: 'taking', version: 0, isWanted: true, tries: 0, finalRow: undefined };
 }
 
 function fieldsOf({ attempt, holder, bodyHash, deadlineAt, expiresAt }: ClaimTerms) {
@@ -48,7 +49,7 @@
   return row?.attempt === state.terms.attempt;
 }
 
-/** Whether a claim may be written over what is there. */
+/** Whether a claim may be written over this row. */
 function isFree(row: ClaimRow | undefined): boolean {
   return row === undefined || row.state === 'released';
 }
@@ -76,33 +77,33 @@
   });
 }
 
-/** Writes what the row is to say at the end. */
-function close(state: ClaimState, last: ClaimRow): ClaimStep {
-  const write: ClaimEffect = { kind: 'write', row: last, version: state.version };
-  return next({ ...state, phase: 'closing', last, tries: 0 }, write);
+/** Starts the final write. */
+function close(state: ClaimState, finalRow: ClaimRow): ClaimStep {
+  const write: ClaimEffect = { kind: 'write', row: finalRow, version: state.version };
+  return next({ ...state, phase: 'closing', finalRow, tries: 0 }, write);
 }
 
-function unwanted(state: ClaimState): ClaimState {
-  return { ...state, isWanted: false, last: releasedRow(state.terms) };
+function markUnwanted(state: ClaimState): ClaimState {
+  return { ...state, isWanted: false, finalRow: releasedRow(state.terms) };
 }
 
-/** Says that the claim was not had, unless that was said. */
+/** Reports that the claim was not obtained, at most once. */
 function notHeld(state: ClaimState, reason: NotHeldReason): readonly ClaimEffect[] {
   return state.isWanted ? [{ kind: 'not-held', reason }] : [];
 }
 
-/** Gives up before the claim was had: looks first, since an insert may still take effect. */
+/** Gives up before the claim is held; reads the row first, as an insert may still take effect. */
 function abandon(state: ClaimState, reason: NotHeldReason): ClaimStep {
   const { effects } = read(state, 'checking');
-  return next({ ...unwanted(state), phase: 'checking' }, ...notHeld(state, reason), ...effects);
+  return next({ ...markUnwanted(state), phase: 'checking' }, ...notHeld(state, reason), ...effects);
 }
 
-/** Gives up while an insert or a read is under way: its result decides how to go on. */
-function giveUpWaiting(state: ClaimState): ClaimStep {
-  return next(unwanted(state), ...notHeld(state, 'late'));
+/** Gives up while an insert or a read is in progress; its result decides the next step. */
+function giveUpWhilePending(state: ClaimState): ClaimStep {
+  return next(markUnwanted(state), ...notHeld(state, 'late'));
 }
 
-/** The read after an insert that was not simply taken. */
+/** The row was read after an insert that conflicted or went unanswered. */
 function onSeenWhileReading(state: ClaimState, seen: VersionedRow, ctx: StepContext): ClaimStep {
   const { row, version } = seen;
   if (!state.isWanted) return onSeenWhileChecking(state, seen);
@@ -115,20 +116,20 @@
   return insert(state, version);
 }
 
-/** The read after a last write that was not simply taken. */
+/** The row was read after a final write that conflicted or went unanswered. */
 function onSeenWhileChecking(state: ClaimState, seen: VersionedRow): ClaimStep {
   const { row, version } = seen;
-  const { last } = state;
-  if (last === undefined) return closed(state, true);
-  if (isOwn(state, row) && row?.state === last.state) return closed(state, true);
+  const { finalRow } = state;
+  if (finalRow === undefined) return closed(state, true);
+  if (isOwn(state, row) && row?.state === finalRow.state) return closed(state, true);
   if (isOwn(state, row) || isFree(row)) {
-    const write: ClaimEffect = { kind: 'write', row: last, version };
+    const write: ClaimEffect = { kind: 'write', row: finalRow, version };
     return next({ ...state, phase: 'closing', version }, write);
   }
   return closed(state, true);
 }
 
-/** Waits, longer each time, and tries the last write again. */
+/** Retries the final write with exponential backoff, up to `MAX_CLOSING_TRIES`. */
 function closeLater(state: ClaimState, { now }: StepContext): ClaimStep {
   const tries = state.tries + 1;
   if (tries > MAX_CLOSING_TRIES) return closed({ ...state, tries }, false);
@@ -141,13 +142,13 @@
   Record<ClaimPhase, (state: ClaimState, ctx: StepContext) => ClaimStep>
 >;
 
-/** Looks the handler up by phase; an event that means nothing in a phase changes nothing. */
+/** Dispatches an event by phase; a phase without a handler ignores it. */
 function byPhase(handlers: PhaseHandlers) {
   return (state: ClaimState, _event: unknown, ctx: StepContext): ClaimStep =>
     handlers[state.phase]?.(state, ctx) ?? next<ClaimState, ClaimEffect>(state);
 }
 
-/** The insert's answer was lost or a conflict: what does the row say? */
+/** Reads the row after an insert that conflicted or whose answer was lost. */
 function readAfterInsert(state: ClaimState): ClaimStep {
   return read({ ...state, tries: state.tries + 1 }, state.isWanted ? 'reading' : 'checking');
 }
@@ -163,10 +164,10 @@
   return next<ClaimState, ClaimEffect>({ ...state, phase: 'held' }, { kind: 'held' });
 }
 
-/** The row could not be read: the caller is told, and the row settled later. */
+/** The row could not be read: reports `not-held` and closes the claim later. */
 function onUnreadable(state: ClaimState, ctx: StepContext): ClaimStep {
-  const { state: left, effects } = closeLater(unwanted(state), ctx);
-  return next(left, ...notHeld(state, 'store-unknown'), ...effects);
+  const { state: closing, effects } = closeLater(markUnwanted(state), ctx);
+  return next(closing, ...notHeld(state, 'store-unknown'), ...effects);
 }
 
 const HANDLERS: HandlerTable<ClaimState, ClaimEvent, ClaimEffect> = {
@@ -204,8 +205,8 @@
   refused: byPhase({ sent: (state) => next<ClaimState, ClaimEffect>({ ...state, phase: 'held' }) }),
 
   'give-up': byPhase({
-    taking: giveUpWaiting,
-    reading: giveUpWaiting,
+    taking: giveUpWhilePending,
+    reading: giveUpWhilePending,
     held: (state) => close(state, releasedRow(state.terms)),
     sent: (state) => close(state, { ...fieldsOf(state.terms), state: 'unknown' }),
   }),
@@ -216,5 +217,5 @@
       : next(state),
 };
 
-/** One step in the life of a claim. */
+/** Applies one event to a claim. */
 export const stepClaim = createReducer(HANDLERS);
--- a/src/core/ledger/rate.ts
+++ b/src/core/ledger/rate.ts
@@ -1,20 +1,23 @@
-/** A share of a common limit on commits, as a token bucket. */
+/** Limits this daemon to its share of the table's commit rate, with a token bucket. */
 
 import type { MonoTime } from '../ids';
 
+/** Rate and capacity of the token bucket; one token is one commit. */
 export interface CommitRate {
-  /** Commits a second. */
+  /** Commits per second. */
   readonly perSecond: number;
-  /** Commits saved up at most. */
+  /** Maximum tokens. */
   readonly burst: number;
 }
 
+/** State of the token bucket. */
 export interface CommitBucket {
   readonly tokens: number;
+  /** When it was last refilled. */
   readonly at: MonoTime;
 }
 
-/** This daemon's share of the table's commits, given how many daemons there are. */
+/** This daemon's share of the commits that claims may use, with `daemons` daemons alive. */
 export function commitRateOf(
   commitsPerSecond: number,
   claimShare: number,
@@ -25,11 +28,11 @@
 }
 
 function refill(bucket: CommitBucket, share: CommitRate, now: MonoTime): CommitBucket {
-  const gained = ((now - bucket.at) / 1_000) * share.perSecond;
-  return { tokens: Math.min(share.burst, bucket.tokens + gained), at: now };
+  const added = ((now - bucket.at) / 1_000) * share.perSecond;
+  return { tokens: Math.min(share.burst, bucket.tokens + added), at: now };
 }
 
-/** Takes one commit if there is one; else says how long until there is, milliseconds. */
+/** Takes one token; if there is none, `waitMs` is the time until there is one, milliseconds. */
 export function takeCommit(
   bucket: CommitBucket,
   share: CommitRate,
@@ -40,7 +43,9 @@
   return { bucket: filled, waitMs: ((1 - filled.tokens) / share.perSecond) * 1_000 };
 }
 
-/** How long a write that joins `queued` others waits for its commit, milliseconds. */
+/**
+ * How long a write waits for its commit behind `queued` others, `batch` per commit, milliseconds.
+ */
 export function expectedWaitMs(
   bucket: CommitBucket,
   share: CommitRate,
@@ -49,6 +54,6 @@
   now: MonoTime,
 ): number {
   const commits = Math.floor(queued / batch) + 1;
-  const lacking = Math.max(0, commits - refill(bucket, share, now).tokens);
-  return (lacking / share.perSecond) * 1_000;
+  const missing = Math.max(0, commits - refill(bucket, share, now).tokens);
+  return (missing / share.perSecond) * 1_000;
 }
--- a/tests/fuzz/ledger-world.ts
+++ b/tests/fuzz/ledger-world.ts
@@ -1,4 +1,4 @@
-/** Claims of several daemons over one table, with every answer in the hands of the fuzzer. */
+/** Simulates claims of several daemons on one table; the fuzzer controls every answer. */
 
 import { createClaim, stepClaim } from '../../src/core/ledger/claim';
 import type { ClaimEffect, ClaimEvent, ClaimState } from '../../src/core/ledger/claim-types';
@@ -7,18 +7,20 @@
 
 const DEADLINE_MS = 1_000;
 const RETENTION_MS = 20_000;
-/** Within so long of a run, no other request with its key may be sent. */
+/** No other request with the same key may be sent within this time of a run. */
 export const ONCE_WITHIN_MS = RETENTION_MS - DEADLINE_MS;
 
-/** A call to the table that has not been answered. */
+/** A call to the table that is not answered yet. */
 type Op =
   | { readonly kind: 'write'; readonly row: ClaimRow; readonly version: number }
   | { readonly kind: 'read' }
   | { readonly kind: 'wait' };
 
+/** What the caller of a submission got. */
 export type CallerOutcome =
   'done' | 'not-run' | 'unknown' | 'replayed' | 'in-progress' | 'key-reused';
 
+/** A request with an idempotency key, sent through one daemon. */
 export interface Submission {
   readonly id: string;
   readonly daemon: number;
@@ -26,10 +28,10 @@
   readonly body: string;
   state: ClaimState;
   pending: Op | undefined;
-  /** What its caller was told; once. */
-  told: CallerOutcome | undefined;
+  /** Set once. */
+  callerOutcome: CallerOutcome | undefined;
   replayed: string | undefined;
-  /** Events that wait while the daemon is frozen. */
+  /** Events held back while the daemon is frozen. */
   readonly inbox: ClaimEvent[];
 }
 
@@ -39,6 +41,7 @@
   readonly sentAt: number;
 }
 
+/** State of the simulation. */
 export interface World {
   now: number;
   readonly table: Map<string, { version: number; row: ClaimRow }>;
@@ -46,11 +49,11 @@
   readonly submissions: Submission[];
   readonly dead: Set<number>;
   readonly frozen: Set<number>;
-  /** Writes whose answers were lost and that may yet take effect. */
+  /** Writes whose answers were lost and that may still take effect. */
   readonly lateWrites: { readonly key: string; readonly op: Extract<Op, { kind: 'write' }> }[];
-  /** Requests that reached a backend server and may yet run. */
+  /** Requests that reached a backend server and may still run. */
   readonly lateRuns: Run[];
-  /** A released row was swept while a write was under way, which may leave its key claimed. */
+  /** A row was swept while a write was in flight, which may leave its key claimed. */
   sweptEarly: boolean;
   readonly runs: Run[];
 }
@@ -70,36 +73,38 @@
   };
 }
 
+/** The body of the answer to a submission. */
 export const answerOf = (id: string): string => `answer to ${id}`;
 
 function storedAnswer(id: string) {
   return { status: 200, headers: {}, body: { kind: 'row' as const, base64: answerOf(id) } };
 }
 
-function tell(sub: Submission, told: CallerOutcome): void {
-  if (sub.told !== undefined) throw new Error(`${sub.id} was told ${sub.told}, then ${told}`);
-  sub.told = told;
+function settle(sub: Submission, outcome: CallerOutcome): void {
+  if (sub.callerOutcome !== undefined)
+    throw new Error(`${sub.id} got ${sub.callerOutcome}, then ${outcome}`);
+  sub.callerOutcome = outcome;
 }
 
-/** What the request plane makes of a row that is there already. */
-function tellExisting(sub: Submission, row: ClaimRow): void {
-  if (row.bodyHash !== sub.body) tell(sub, 'key-reused');
-  else if (row.state !== 'finished') tell(sub, 'in-progress');
+/** The outcome for a caller whose key has a row already, as the request handling decides it. */
+function settleExisting(sub: Submission, row: ClaimRow): void {
+  if (row.bodyHash !== sub.body) settle(sub, 'key-reused');
+  else if (row.state !== 'finished') settle(sub, 'in-progress');
   else {
     sub.replayed = row.answer.body.kind === 'row' ? row.answer.body.base64 : '';
-    tell(sub, 'replayed');
+    settle(sub, 'replayed');
   }
 }
 
-function take(sub: Submission, effect: ClaimEffect): void {
+function applyEffect(sub: Submission, effect: ClaimEffect): void {
   const isOp = effect.kind === 'write' || effect.kind === 'read' || effect.kind === 'wait';
-  if (isOp && sub.pending !== undefined) throw new Error(`${sub.id} has two calls under way`);
+  if (isOp && sub.pending !== undefined) throw new Error(`${sub.id} has two calls in progress`);
   if (isOp) sub.pending = effect;
-  if (effect.kind === 'not-held') tell(sub, 'not-run');
-  if (effect.kind === 'exists') tellExisting(sub, effect.row);
+  if (effect.kind === 'not-held') settle(sub, 'not-run');
+  if (effect.kind === 'exists') settleExisting(sub, effect.row);
 }
 
-/** Gives the submission an event, or keeps it while its daemon is frozen. */
+/** Applies an event to the submission, or holds it back while its daemon is frozen. */
 export function dispatch(world: World, sub: Submission, event: ClaimEvent): readonly ClaimEffect[] {
   if (world.dead.has(sub.daemon)) return [];
   if (world.frozen.has(sub.daemon)) {
@@ -109,11 +114,12 @@
   const step = stepClaim(sub.state, event, { now: world.now as MonoTime });
   sub.state = step.state;
   step.effects.forEach((effect) => {
-    take(sub, effect);
+    applyEffect(sub, effect);
   });
   return step.effects;
 }
 
+/** Submits a request through a daemon; its claim begins at once. */
 export function submit(world: World, daemon: number, key: string, body: string): void {
   const id = `s${world.submissions.length}`;
   const { now } = world;
@@ -133,7 +139,7 @@
     body,
     state,
     pending: undefined,
-    told: undefined,
+    callerOutcome: undefined,
     replayed: undefined,
     inbox: [],
   };
@@ -153,6 +159,7 @@
   return { kind: 'written', version: world.version };
 }
 
+/** Fault of a write to the table; `late`: it may take effect after the error. */
 export type WriteFault = 'none' | 'lost-answer' | 'lost-request' | 'late' | 'down';
 
 type WriteHandlers = Record<
@@ -174,7 +181,7 @@
   down: () => ({ kind: 'unavailable' }),
 };
 
-/** Answers the call that the submission has under way. */
+/** Answers the submission's call in progress. */
 export function answer(world: World, sub: Submission, fault: WriteFault): void {
   const op = sub.pending;
   if (op === undefined) return;
@@ -191,12 +198,13 @@
   }
 }
 
+/** Fault of a request to the backend server; `late`: it may run after the error. */
 export type SendFault = 'none' | 'lost-answer' | 'late' | 'refused';
 
-/** Sends the request, if the claim lets it. */
+/** Sends the request if the claim allows it. */
 export function send(world: World, sub: Submission, fault: SendFault): void {
   const isStopped = world.frozen.has(sub.daemon) || world.dead.has(sub.daemon);
-  if (isStopped || sub.told !== undefined) return;
+  if (isStopped || sub.callerOutcome !== undefined) return;
   const effects = dispatch(world, sub, { kind: 'send' });
   if (!effects.some(({ kind }) => kind === 'may-send')) return;
   if (fault === 'refused') {
@@ -206,7 +214,7 @@
   const runs = fault === 'late' ? world.lateRuns : world.runs;
   runs.push({ sub, sentAt: world.now });
   const isAnswered = fault === 'none';
-  tell(sub, isAnswered ? 'done' : 'unknown');
+  settle(sub, isAnswered ? 'done' : 'unknown');
   dispatch(
     world,
     sub,
@@ -214,15 +222,16 @@
   );
 }
 
-/** The request gives up, as when its deadline passes. */
+/** Aborts the request, as when its deadline passes. */
 export function giveUp(world: World, sub: Submission): void {
   const isStopped = world.frozen.has(sub.daemon) || world.dead.has(sub.daemon);
-  if (isStopped || sub.told !== undefined) return;
+  if (isStopped || sub.callerOutcome !== undefined) return;
   const wasHeld = sub.state.phase === 'held';
   dispatch(world, sub, { kind: 'give-up' });
-  if (wasHeld) tell(sub, 'not-run');
+  if (wasHeld) settle(sub, 'not-run');
 }
 
+/** Ends a daemon for good; its writes in flight may still take effect. */
 export function kill(world: World, daemon: number): void {
   world.dead.add(daemon);
   world.frozen.delete(daemon);
@@ -232,6 +241,7 @@
   }
 }
 
+/** Unfreezes a daemon and delivers its held-back events. */
 export function resume(world: World, daemon: number): void {
   world.frozen.delete(daemon);
   for (const sub of world.submissions.filter((each) => each.daemon === daemon)) {
@@ -239,6 +249,7 @@
   }
 }
 
+/** Applies the oldest late write and the oldest late run. */
 export function applyLate(world: World): void {
   const write = world.lateWrites.shift();
   if (write !== undefined) apply(world, write.key, write.op);
@@ -246,6 +257,7 @@
   if (run !== undefined) world.runs.push(run);
 }
 
+/** Removes expired rows. */
 export function sweep(world: World): void {
   for (const [key, { row }] of world.table) {
     if (row.expiresAt > world.now) continue;
--- a/tests/fuzz/ledger.ts
+++ b/tests/fuzz/ledger.ts
@@ -1,4 +1,4 @@
-/** Stateful fuzzing of claims against an oracle that knows nothing of how they work. */
+/** Model-based fuzzing of claims against an oracle that is independent of their implementation. */
 
 import fc from 'fast-check';
 
@@ -20,7 +20,7 @@
 
 const DAEMONS = 3;
 
-/** No other request with the key of `run` was sent while its claim had to last. */
+/** No other request with the key of `run` was sent while its claim had to be valid. */
 function checkOnce(world: World, run: Run): void {
   const other = world.runs.find(
     ({ sub, sentAt }) =>
@@ -29,34 +29,36 @@
   if (other !== undefined) throw new Error(`${run.sub.id} and ${other.sub.id} both ran`);
 }
 
-/** A stored answer is that of the key's last run, for the same body. */
+/** A replayed answer is one of a run with the same key and body. */
 function checkReplay(world: World, sub: Submission): void {
   const isOfKey = ({ sub: { key, body, id } }: Run): boolean =>
     key === sub.key && body === sub.body && sub.replayed === answerOf(id);
-  if (!world.runs.some(isOfKey)) throw new Error(`${sub.id} got an answer that is not its key's`);
+  if (!world.runs.some(isOfKey))
+    throw new Error(`${sub.id} got a replayed answer of another key or body`);
 }
 
-/** What must hold after every step, from what ran and what callers were told. */
+/** Invariants after every step, on what ran and what the callers got. */
 function check(world: World): void {
   for (const run of world.runs) {
     checkOnce(world, run);
-    if (run.sub.told === 'not-run') throw new Error(`${run.sub.id} ran, and was told not-run`);
+    if (run.sub.callerOutcome === 'not-run')
+      throw new Error(`${run.sub.id} ran, but its caller got not-run`);
     const again = world.runs.some((other) => other !== run && other.sub === run.sub);
     if (again) throw new Error(`${run.sub.id} ran twice`);
   }
   for (const sub of world.submissions) {
-    if (sub.told === 'replayed') checkReplay(world, sub);
+    if (sub.callerOutcome === 'replayed') checkReplay(world, sub);
   }
 }
 
-/** Once all is quiet, a key whose holders live and sent nothing can be used again. */
+/** After all faults end, a key whose holder is alive and sent nothing can be used again. */
 function checkSettled(world: World): void {
-  // A write that lands later than released rows are kept costs its key until the claim expires.
+  // A write applied after its released row was swept blocks the key until the claim expires.
   if (world.sweptEarly) return;
   for (const { row } of world.table.values()) {
     const holder = world.submissions.find((sub) => sub.id === row.attempt);
-    const lives = holder !== undefined && !world.dead.has(holder.daemon);
-    if (lives && row.state === 'claimed' && holder.told === 'not-run') {
+    const isAlive = holder !== undefined && !world.dead.has(holder.daemon);
+    if (isAlive && row.state === 'claimed' && holder.callerOutcome === 'not-run') {
       throw new Error(`${holder.id} left its key claimed`);
     }
   }
@@ -72,7 +74,7 @@
   checkSettled(world);
 }
 
-/** Runs without a model: the oracle reads the world's record after each step. */
+/** Has no model state: the oracle checks the record of the simulation after each step. */
 function command(name: string, run: (world: World) => void): fc.Command<object, World> {
   return {
     check: () => true,
@@ -84,7 +86,7 @@
   };
 }
 
-/** Acts on one of the submissions that fit, or on any if none does: nothing may then go wrong. */
+/** Acts on a submission for which `fits` holds, else on any: an unexpected call must do no harm. */
 function onSome(
   world: World,
   pick: number,
@@ -116,13 +118,13 @@
 const key = fc.constantFrom('k1', 'k1', 'k1', 'k2');
 const body = fc.constantFrom('b1', 'b1', 'b1', 'b2');
 
-const submitting = fc.tuple(daemonId, key, body).map(([d, k, b]) =>
+const submits = fc.tuple(daemonId, key, body).map(([d, k, b]) =>
   command(`submit(d${d}, ${k}, ${b})`, (world) => {
     if (!world.dead.has(d) && !world.frozen.has(d)) submit(world, d, k, b);
   }),
 );
 
-const answering = fc.tuple(pick, writeFault).map(([at, fault]) =>
+const answers = fc.tuple(pick, writeFault).map(([at, fault]) =>
   command(`answer(-${at}, ${fault})`, (world) => {
     const fits = (sub: Submission): boolean => sub.pending !== undefined;
     onSome(world, at, fits, (sub) => {
@@ -131,61 +133,61 @@
   }),
 );
 
-const sending = fc.tuple(pick, sendFault).map(([at, fault]) =>
+const sends = fc.tuple(pick, sendFault).map(([at, fault]) =>
   command(`send(-${at}, ${fault})`, (world) => {
-    const fits = ({ state, told }: Submission): boolean =>
-      told === undefined && (state.phase === 'held' || state.phase === 'sent');
+    const fits = ({ state, callerOutcome }: Submission): boolean =>
+      callerOutcome === undefined && (state.phase === 'held' || state.phase === 'sent');
     onSome(world, at, fits, (sub) => {
       send(world, sub, fault);
     });
   }),
 );
 
-const givingUp = pick.map((at) =>
+const givesUp = pick.map((at) =>
   command(`giveUp(-${at})`, (world) => {
-    const fits = ({ told }: Submission): boolean => told === undefined;
+    const fits = ({ callerOutcome }: Submission): boolean => callerOutcome === undefined;
     onSome(world, at, fits, (sub) => {
       giveUp(world, sub);
     });
   }),
 );
 
-const freezing = daemonId.map((d) =>
+const freezes = daemonId.map((d) =>
   command(`freeze(d${d})`, (world) => {
     if (!world.dead.has(d)) world.frozen.add(d);
   }),
 );
 
-const resuming = daemonId.map((d) =>
+const resumes = daemonId.map((d) =>
   command(`resume(d${d})`, (world) => {
     resume(world, d);
   }),
 );
 
-const killing = daemonId.map((d) =>
+const kills = daemonId.map((d) =>
   command(`kill(d${d})`, (world) => {
     if (world.dead.size < DAEMONS - 1) kill(world, d);
   }),
 );
 
-const passing = fc.constantFrom(300, 300, 1_000, 21_000).map((ms) =>
-  command(`pass(${ms})`, (world) => {
+const advances = fc.constantFrom(300, 300, 1_000, 21_000).map((ms) =>
+  command(`advance(${ms})`, (world) => {
     world.now += ms;
   }),
 );
 
-const landing = fc.constant(command('landLate', applyLate));
-const sweeping = fc.constant(command('sweep', sweep));
+const appliesLate = fc.constant(command('landLate', applyLate));
+const sweeps = fc.constant(command('sweep', sweep));
 
-/** Those that stand more than once come up more often. */
+/** Commands that are listed more than once are drawn more often. */
 const COMMANDS = [
-  ...[submitting, submitting, submitting],
-  ...[answering, answering, answering, answering, answering, answering],
-  ...[sending, sending, sending],
-  ...[givingUp, freezing, resuming, resuming, killing, passing, landing, sweeping],
+  ...[submits, submits, submits],
+  ...[answers, answers, answers, answers, answers, answers],
+  ...[sends, sends, sends],
+  ...[givesUp, freezes, resumes, resumes, kills, advances, appliesLate, sweeps],
 ];
 
-/** Throws with the seed and the shrunk history if anything that must hold did not. */
+/** Throws with the seed and the shrunk sequence of steps if an invariant is violated. */
 export function fuzzLedger({ seed, runs }: FuzzOptions): void {
   const histories = fc.commands(COMMANDS, { maxCommands: 60, size: 'max' });
   fc.assert(
--- a/tests/ledger-requests.test.ts
+++ b/tests/ledger-requests.test.ts
@@ -1,4 +1,6 @@
-/** Requests with an idempotency key through several daemons that share a table. */
+/**
+ * Requests with an idempotency key, sent through two daemons that share a table, run at most once.
+ */
 
 import { afterEach, describe, expect, it } from 'vitest';
 
@@ -22,7 +24,7 @@
   readonly faults: readonly TableFaults[];
   readonly table: FakeTable;
   readonly backend: ScriptedEngine;
-  /** Calls that the backend server ran. */
+  /** Number of calls that the backend server ran. */
   readonly ran: () => number;
 }
 
@@ -71,7 +73,7 @@
 const outcomeOf = (seen: ReceivedResponse): unknown => seen.headers['nutmegstack-outcome'];
 
 describe('requests with an idempotency key', () => {
-  it('run once, and give the stored answer through any daemon', async () => {
+  it('run once, and return the stored answer through any daemon', async () => {
     const { daemons, ran } = await setUp();
     const first = await reserve(daemons[0], 'k');
     const again = await Promise.all(daemons.map((daemon) => reserve(daemon, 'k')));
@@ -88,7 +90,7 @@
     expect(seen.filter((each) => each.status !== 200).map(outcomeOf)).not.toContain('not-run');
   });
 
-  it('are refused with 422 when the body is another', async () => {
+  it('are refused with 422 when the body differs', async () => {
     const { daemons, ran } = await setUp();
     await reserve(daemons[0], 'k');
     const seen = await reserve(daemons[1], 'k', '{"n":2}');
@@ -97,7 +99,7 @@
     expect(ran()).toBe(1);
   });
 
-  it('keep a large answer in the object store', async () => {
+  it('store a large answer in the object store', async () => {
     const long = 'x'.repeat(1_000);
     const { daemons, table } = await setUp({ scripts: [({ res }) => void res.end(long)] });
     await reserve(daemons[0], 'k');
@@ -106,7 +108,7 @@
     expect(JSON.stringify([...table.rows.values()])).not.toContain('xxxx');
   });
 
-  it('are not sent while the table is down, and say so at once', async () => {
+  it('are not sent while the table is down, and fail at once with not-run', async () => {
     const { daemons, faults, ran } = await setUp();
     if (faults[0] !== undefined) faults[0].down = true;
     const seen = await reserve(daemons[0], 'k');
@@ -117,14 +119,14 @@
     expect((await reserve(daemons[0], 'k')).status).toBe(200);
   });
 
-  it('are sent when the lost answer to the claim is read back', async () => {
+  it('are sent when the claim is found by reading the row after a lost answer', async () => {
     const { daemons, faults, ran } = await setUp();
     if (faults[0] !== undefined) faults[0].lostAnswers = 1;
     expect((await reserve(daemons[0], 'k')).status).toBe(200);
     expect(ran()).toBe(1);
   });
 
-  it('can be sent again after not-run, though a lost claim lands late', async () => {
+  it('can be sent again after not-run, even if the lost claim is written late', async () => {
     const { daemons, faults, table, ran } = await setUp();
     if (faults[0] !== undefined) faults[0].lateRequests = 2;
     const seen = await reserve(daemons[0], 'k');
@@ -135,7 +137,7 @@
     expect(states.some((each) => each.status === 200) || ran() === 0).toBe(true);
   });
 
-  it('stay unknown, and are never sent again, once their answer was lost', async () => {
+  it('have an unknown outcome and are never sent again once their answer was lost', async () => {
     const { daemons, backend } = await setUp({ scripts: [breakConnection] });
     expect(outcomeOf(await reserve(daemons[0], 'k'))).toBe('unknown');
     for (const daemon of daemons) {
@@ -146,14 +148,14 @@
     expect(backend.calls).toHaveLength(1);
   });
 
-  it('may be sent again after the backend server refused them', async () => {
+  it('can be sent again after the backend server refused them', async () => {
     const { daemons, ran } = await setUp({ scripts: [refuse] });
     expect(outcomeOf(await reserve(daemons[0], 'k'))).toBe('not-run');
     expect((await reserve(daemons[0], 'k')).status).toBe(200);
     expect(ran()).toBe(1);
   });
 
-  it('go out again to a service that honours the key, even with the table down', async () => {
+  it('are sent again to a service that honours the key, even with the table down', async () => {
     const { daemons, faults, backend } = await setUp({
       honoursIdempotencyKey: true,
       scripts: [breakConnection],
@@ -165,7 +167,7 @@
     expect(new Set(keys).size).toBe(1);
   });
 
-  it('of two organisations never meet', async () => {
+  it('of two organisations are independent', async () => {
     const { daemons, ran } = await setUp();
     const config = daemons[0]?.config;
     const umurage = config?.value.organisations.umurage;
--- a/tests/ledger-sweep.test.ts
+++ b/tests/ledger-sweep.test.ts
@@ -1,4 +1,4 @@
-/** Old claims are removed, and young ones are left alone. */
+/** The sweep removes expired claims with their stored answers and keeps the others. */
 
 import { expect, it } from 'vitest';
 
@@ -18,11 +18,11 @@
   return { ...fields, state: 'finished', answer };
 }
 
-it('removes claims past their retention, with their stored answers, wherever it begins', async () => {
+it('removes expired claims and their stored answers, whatever page it starts at', async () => {
   const { table } = createFakeTable().client();
   const objects = fakeObjects();
   const now = Date.now();
-  const rows = { old: now - 1, young: now + DAY_MS };
+  const rows = { expired: now - 1, fresh: now + DAY_MS };
   for (const [name, expiresAt] of Object.entries(rows)) {
     objects.kept.set(name, Buffer.from(name));
     const write = { key: `claim/armor/${name}`, value: claimValue(expiresAt, name) };
@@ -44,10 +44,10 @@
     settings: REQUEST_DEFAULTS,
   } as unknown as RequestContext;
   const sweep = createSweep(ctx, writer);
-  // The first page begins somewhere in the middle, the next ones at the start.
+  // The first page starts at a random key, the next ones at the beginning.
   const removed = [await sweep.sweepPage(), await sweep.sweepPage(), await sweep.sweepPage()];
   expect(removed.reduce((sum, n) => sum + n, 0)).toBe(1);
-  const left = await table.read(['claim/armor/old', 'claim/armor/young']);
-  expect(left.unwrapOr([]).map(({ key }) => key)).toEqual(['claim/armor/young']);
-  expect([...objects.kept.keys()]).toEqual(['young']);
+  const remaining = await table.read(['claim/armor/expired', 'claim/armor/fresh']);
+  expect(remaining.unwrapOr([]).map(({ key }) => key)).toEqual(['claim/armor/fresh']);
+  expect([...objects.kept.keys()]).toEqual(['fresh']);
 });
--- a/tests/ledger-writer.test.ts
+++ b/tests/ledger-writer.test.ts
@@ -1,4 +1,4 @@
-/** Claim rows are written in groups, and each write stands on its own. */
+/** The claim writer commits rows in batches, in which each write succeeds or fails on its own. */
 
 import { describe, expect, it } from 'vitest';
 
@@ -28,7 +28,7 @@
 };
 
 describe('claim writer', () => {
-  it('carries what came together in one commit', async () => {
+  it('writes rows that arrive together in one commit', async () => {
     const { table, create } = fake();
     const writer = create();
     const keys = Array.from({ length: 50 }, (_, i) => `claim/a/${i}`);
@@ -39,7 +39,7 @@
     expect(table.counts.commits).toBe(1);
   });
 
-  it('fails the write alone whose row has another version', async () => {
+  it('fails only the write whose row has another version', async () => {
     const { table, create } = fake();
     const writer = create();
     await writer.write({ key: 'taken', version: 0, value: 'first' });
@@ -50,7 +50,7 @@
     expect(table.rows.get('taken')?.value).toBe('first');
   });
 
-  it('lets one of two writes of the same row through', async () => {
+  it('accepts one of two concurrent writes of the same row', async () => {
     const { create } = fake();
     const writer = create();
     const write = () => writer.write({ key: 'k', version: 0, value: 1 });
@@ -58,7 +58,7 @@
     expect(results.map(({ kind }) => kind)).toEqual(['written', 'conflict']);
   });
 
-  it('tells a lost answer from a refusal', async () => {
+  it('distinguishes a lost answer from an unavailable table', async () => {
     const { client, create } = fake();
     const writer = create();
     client.faults.lostAnswers = 1;
@@ -67,7 +67,7 @@
     expect(await writer.write({ key: 'l', version: 0, value: 1 })).toEqual({ kind: 'unavailable' });
   });
 
-  it('keeps to its share of the commits, and says when it has no room', async () => {
+  it('stays within its share of the commit rate, and reports when it is overloaded', async () => {
     const { table, create } = fake();
     const writer = create({
       commitsPerSecond: 70,
@@ -81,7 +81,7 @@
     );
     expect(writer.isOverloaded()).toBe(true);
     const results = await Promise.all(writes);
-    // Five commits a second: one saved up, and one or two in the time that writes wait.
+    // Five commits per second: one initial token, and one or two more while the writes wait.
     expect(table.counts.commits).toBeLessThanOrEqual(4);
     expect(results.some(({ kind }) => kind === 'unavailable')).toBe(true);
   });
