--- a/src/core/config/check.ts
+++ b/src/core/config/check.ts
@@ -1,4 +1,4 @@
-/** Checks a configuration document and names every wrong field by its path. */
+/** Validates a configuration document and reports every invalid field by its path. */
 
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
@@ -6,9 +6,9 @@
 import { documentSchema } from './document';
 import type { KeySource, OrganisationSource, ResolvedDocument, TemplateSource } from './document';
 
-/** One thing wrong with a document. */
+/** One invalid field of a document. */
 export interface FieldError {
-  /** As `organisations.rennes.replicas.stock-query` or `keys[3].hash`. */
+  /** For example `organisations.rennes.replicas.stock-query` or `keys[3].hash`. */
   readonly path: string;
   readonly message: string;
 }
@@ -31,16 +31,16 @@
   return path;
 }
 
-function fault(path: readonly PathPart[], message: string): FieldError {
+function fieldError(path: readonly PathPart[], message: string): FieldError {
   return { path: joinPath(path), message };
 }
 
-/** An entry of a record that came from outside: never one of `Object.prototype`. */
+/** An own entry of an untrusted record, never a property of `Object.prototype`. */
 function entryOf<T>(record: Readonly<Record<string, T>>, key: string): T | undefined {
   return Object.hasOwn(record, key) ? record[key] : undefined;
 }
 
-function faultsOfIssue(issue: SchemaIssue): FieldError[] {
+function errorsOfIssue(issue: SchemaIssue): FieldError[] {
   if (issue.code !== 'unrecognized_keys') {
     return [{ path: joinPath(issue.path), message: issue.message }];
   }
@@ -52,17 +52,17 @@
 
 function checkModels(doc: ResolvedDocument): FieldError[] {
   const owners = new Map<string, string>();
-  const faults: FieldError[] = [];
+  const errors: FieldError[] = [];
   for (const [templateName, template] of Object.entries(doc.templates)) {
     for (const model of Object.keys(template.models)) {
       const owner = owners.get(model);
       owners.set(model, owner ?? templateName);
       if (owner === undefined) continue;
       const path = ['templates', templateName, 'models', model];
-      faults.push(fault(path, `model is already defined by template ${owner}`));
+      errors.push(fieldError(path, `model is already defined by template ${owner}`));
     }
   }
-  return faults;
+  return errors;
 }
 
 function checkServiceNames(
@@ -71,13 +71,13 @@
   allowed: (service: string) => string | undefined,
 ): FieldError[] {
   const seen = new Set<string>();
-  const faults: FieldError[] = [];
+  const errors: FieldError[] = [];
   names.forEach((service, i) => {
     const message = seen.has(service) ? `service ${service} is listed twice` : allowed(service);
     seen.add(service);
-    if (message !== undefined) faults.push(fault([...path, i], message));
+    if (message !== undefined) errors.push(fieldError([...path, i], message));
   });
-  return faults;
+  return errors;
 }
 
 function checkTemplateServices(doc: ResolvedDocument): FieldError[] {
@@ -93,13 +93,13 @@
   template: TemplateSource,
   path: readonly PathPart[],
 ): FieldError[] {
-  const most = template.limits.replicas ?? Infinity;
+  const max = template.limits.replicas ?? Infinity;
   return Object.entries(org.replicas).flatMap(([model, replicas]) => {
     const at = [...path, 'replicas', model];
     if (!entryOf(template.models, model)) {
-      return [fault(at, `template ${org.template} has no model ${model}`)];
+      return [fieldError(at, `template ${org.template} has no model ${model}`)];
     }
-    return replicas > most ? [fault(at, `template ${org.template} allows at most ${most}`)] : [];
+    return replicas > max ? [fieldError(at, `template ${org.template} allows at most ${max}`)] : [];
   });
 }
 
@@ -112,17 +112,17 @@
   return Object.entries(org.classes).flatMap(([name, override]) => {
     const at = [...path, 'classes', name];
     if (!entryOf(template.classes, name)) {
-      return [fault(at, `template ${org.template} has no class ${name}`)];
+      return [fieldError(at, `template ${org.template} has no class ${name}`)];
     }
-    const faults: FieldError[] = [];
+    const errors: FieldError[] = [];
     if ((override.worth ?? 0) > (limits.worth ?? Infinity)) {
-      faults.push(fault([...at, 'worth'], `template allows at most ${limits.worth ?? ''}`));
+      errors.push(fieldError([...at, 'worth'], `template allows at most ${limits.worth ?? ''}`));
     }
     if ((override.maxInFlight ?? 0) > (limits.maxInFlight ?? Infinity)) {
-      const most = limits.maxInFlight ?? '';
-      faults.push(fault([...at, 'maxInFlight'], `template allows at most ${most}`));
+      const max = limits.maxInFlight ?? '';
+      errors.push(fieldError([...at, 'maxInFlight'], `template allows at most ${max}`));
     }
-    return faults;
+    return errors;
   });
 }
 
@@ -133,8 +133,8 @@
 ): FieldError[] {
   const path = ['organisations', id];
   const template = entryOf(doc.templates, org.template);
-  if (!template) return [fault([...path, 'template'], `unknown template ${org.template}`)];
-  const faults = [
+  if (!template) return [fieldError([...path, 'template'], `unknown template ${org.template}`)];
+  const errors = [
     ...checkReplicas(org, template, path),
     ...checkOverrides(org, template, path),
     ...checkServiceNames(org.services, [...path, 'services'], (service) =>
@@ -144,32 +144,35 @@
     ),
   ];
   if (org.share > (template.limits.share ?? Infinity)) {
-    faults.push(
-      fault([...path, 'share'], `template allows at most ${template.limits.share ?? ''}`),
+    errors.push(
+      fieldError([...path, 'share'], `template allows at most ${template.limits.share ?? ''}`),
     );
   }
-  return faults;
+  return errors;
 }
 
 function checkCallerKey(doc: ResolvedDocument, key: KeySource, path: PathPart[]): FieldError[] {
   if (key.organisation === undefined) {
-    return [fault([...path, 'organisation'], 'a caller key needs an organisation')];
+    return [fieldError([...path, 'organisation'], 'a caller key needs an organisation')];
   }
-  if (key.class === undefined) return [fault([...path, 'class'], 'a caller key needs a class')];
+  if (key.class === undefined)
+    return [fieldError([...path, 'class'], 'a caller key needs a class')];
   const org = entryOf(doc.organisations, key.organisation);
   const template = org && entryOf(doc.templates, org.template);
   if (!template || entryOf(template.classes, key.class)) return [];
-  return [fault([...path, 'class'], `organisation ${key.organisation} has no class ${key.class}`)];
+  return [
+    fieldError([...path, 'class'], `organisation ${key.organisation} has no class ${key.class}`),
+  ];
 }
 
 function checkKey(doc: ResolvedDocument, key: KeySource, path: PathPart[]): FieldError[] {
-  const faults: FieldError[] = [];
+  const errors: FieldError[] = [];
   if (key.organisation !== undefined && !entryOf(doc.organisations, key.organisation)) {
-    faults.push(fault([...path, 'organisation'], `unknown organisation ${key.organisation}`));
+    errors.push(fieldError([...path, 'organisation'], `unknown organisation ${key.organisation}`));
   }
-  if (key.role === 'caller') return [...faults, ...checkCallerKey(doc, key, path)];
-  if (key.class === undefined) return faults;
-  return [...faults, fault([...path, 'class'], 'an operator key has no class')];
+  if (key.role === 'caller') return [...errors, ...checkCallerKey(doc, key, path)];
+  if (key.class === undefined) return errors;
+  return [...errors, fieldError([...path, 'class'], 'an operator key has no class')];
 }
 
 function checkKeys(doc: ResolvedDocument): FieldError[] {
@@ -177,9 +180,9 @@
   return doc.keys.flatMap((key, i) => {
     const first = seen.get(key.hash);
     seen.set(key.hash, first ?? i);
-    const faults = checkKey(doc, key, ['keys', i]);
-    if (first === undefined) return faults;
-    return [...faults, fault(['keys', i, 'hash'], `the same key as keys[${first}]`)];
+    const errors = checkKey(doc, key, ['keys', i]);
+    if (first === undefined) return errors;
+    return [...errors, fieldError(['keys', i, 'hash'], `duplicate of keys[${first}]`)];
   });
 }
 
@@ -192,15 +195,15 @@
   ];
 }
 
-/** The document with defaults filled in, or everything that is wrong with it. */
+/** The document with defaults filled in, or all of its errors. */
 export function checkDocument(json: unknown): Result<ResolvedDocument, readonly FieldError[]> {
   const parsed = documentSchema.safeParse(json);
-  if (!parsed.success) return err(parsed.error.issues.flatMap(faultsOfIssue));
-  const faults = checkReferences(parsed.data);
-  return faults.length > 0 ? err(faults) : ok(parsed.data);
+  if (!parsed.success) return err(parsed.error.issues.flatMap(errorsOfIssue));
+  const errors = checkReferences(parsed.data);
+  return errors.length > 0 ? err(errors) : ok(parsed.data);
 }
 
-/** One line for an error message. */
-export function formatFieldErrors(faults: readonly FieldError[]): string {
-  return faults.map(({ path, message }) => `${path || '(document)'}: ${message}`).join('; ');
+/** Joins the errors into one line for an error message. */
+export function formatFieldErrors(errors: readonly FieldError[]): string {
+  return errors.map(({ path, message }) => `${path || '(document)'}: ${message}`).join('; ');
 }
--- a/src/core/config/delta.ts
+++ b/src/core/config/delta.ts
@@ -1,4 +1,4 @@
-/** What changed from one document to the next, small enough to push to every daemon. */
+/** Differences between two configuration documents, small enough to push to every daemon. */
 
 import { isRecord } from '../../utils/is';
 import { canonicalText } from '../json';
@@ -6,14 +6,15 @@
 
 type JsonRecord = Readonly<Record<string, Json>>;
 
-/** One entry of a section put, or deleted where `value` is left out. */
+/** Sets one entry of a section, or deletes it if `value` is absent. */
 export interface DeltaEntry {
   readonly section: string;
-  /** Left out where the whole section is put. */
+  /** Absent if the whole section is set or deleted. */
   readonly name?: string;
   readonly value?: Json;
 }
 
+/** The changes that turn one document into another. */
 export type Delta = readonly DeltaEntry[];
 
 function isSection(value: Json | undefined): value is JsonRecord {
@@ -36,7 +37,7 @@
     .map((name) => entry(section, name, to[name]));
 }
 
-/** The entries that turn `from` into `to`; both are objects of sections. */
+/** The delta that turns `from` into `to`; both are records of sections. */
 export function diffDocuments(from: Json, to: Json): Delta {
   const before: JsonRecord = isSection(from) ? from : {};
   const after: JsonRecord = isSection(to) ? to : {};
@@ -62,7 +63,7 @@
   return Object.fromEntries(Object.entries(record).filter(([name]) => name !== key));
 }
 
-/** The document that `delta` makes of `document`; the caller checks its hash. */
+/** Applies `delta` to `document`; the caller checks the hash of the result. */
 export function applyDelta(document: Json, delta: Delta): Json {
   return delta.reduce<JsonRecord>(applyEntry, isSection(document) ? document : {});
 }
--- a/src/core/config/document.ts
+++ b/src/core/config/document.ts
@@ -1,4 +1,4 @@
-/** The configuration document as operators write it, and its shape check. */
+/** Schema of the configuration document as operators write it. */
 
 import * as z from 'zod';
 
@@ -50,7 +50,7 @@
   classes: z.record(name, callerClass),
   /** Services that organisations of this template may use. */
   services: z.array(name).default([]),
-  /** Most that an organisation may ask for. */
+  /** Maximum values that an organisation may set. */
   limits: z
     .strictObject({
       share: positive.optional(),
@@ -64,7 +64,7 @@
 const organisation = z.strictObject({
   template: name,
   share: positive.default(1),
-  /** By model. Fractions pool: the sum over the organisations is rounded up. */
+  /** By model. Fractions are pooled: the sum over the organisations is rounded up. */
   replicas: z.record(name, replicaShare).default({}),
   /** Overrides of the template's classes. */
   classes: z.record(name, callerClass.partial()).default({}),
@@ -92,6 +92,7 @@
   class: name.optional(),
 });
 
+/** Schema of a document; references between its sections are checked by `checkDocument`. */
 export const documentSchema = z.strictObject({
   templates: z.record(name, template),
   organisations: z.record(name, organisation).default({}),
@@ -99,7 +100,7 @@
   keys: z.array(key).default([]),
 });
 
-/** A document whose shape and references are right, defaults filled in. */
+/** A document that matches the schema, with defaults filled in. */
 export type ResolvedDocument = z.output<typeof documentSchema>;
 export type TemplateSource = ResolvedDocument['templates'][string];
 export type OrganisationSource = ResolvedDocument['organisations'][string];
--- a/src/core/config/in-force.ts
+++ b/src/core/config/in-force.ts
@@ -1,9 +1,10 @@
 /**
- * The configuration in force on one daemon: forward only, whatever comes from peers or the table.
+ * Reducer for the configuration in force on one daemon. Its version never decreases, whatever peers
+ * or the table send.
  *
- * A document is put in force only if its hash is the one announced and it passes the check. The
- * table rules: where its head has another hash for the version in force, a peer was wrong, and
- * the table's document replaces it.
+ * A document is put in force only if it has the announced hash and passes validation. The table is
+ * authoritative: if its head has another hash for the version in force, that document came from a
+ * faulty peer and is replaced by the table's.
  */
 
 import type { ConfigVersion } from '../ids';
@@ -19,36 +20,40 @@
 import { EMPTY_CONFIG } from './types';
 import type { Config } from './types';
 
-/** A version by its content. */
+/** Identifies a document by version and content hash. */
 export interface VersionRef {
   readonly version: ConfigVersion;
   readonly hash: string;
 }
 
+/** The configuration in force, and the version to fetch if a newer one is known. */
 export interface InForceState {
   readonly mark: VersionRef;
   readonly document: Json | undefined;
   readonly config: Config;
-  /** Newest version that is known and not held. */
+  /** Newest known version whose document is not held yet. */
   readonly wanted?: VersionRef;
-  /** A version that could not be used; not asked for again until the head moves. */
+  /** A version that failed validation; not fetched again until another version is announced. */
   readonly refused?: VersionRef;
 }
 
+/** Where a document came from; `self`: it was submitted through this daemon. */
 export type DocumentSource = 'table' | 'peer' | 'self';
 
+/** Input of the reducer. */
 export type InForceEvent =
-  /** The head as the table has it. */
+  /** The head was read from the table. */
   | { readonly kind: 'head'; readonly mark: VersionRef }
-  /** The head's row has a schema this daemon does not know. */
+  /** The head's row is damaged or has an unknown schema. */
   | { readonly kind: 'unreadable'; readonly message: string }
-  /** A peer tells of a version: what changed since `base`, or only that it exists. */
+  /** A peer announced a version, with the delta from `base` if that was small. */
   | {
       readonly kind: 'pushed';
       readonly mark: VersionRef;
       readonly base?: VersionRef;
       readonly delta?: Delta;
     }
+  /** A document was fetched from the table or a peer, or accepted on this daemon. */
   | {
       readonly kind: 'document';
       readonly mark: VersionRef;
@@ -56,9 +61,11 @@
       readonly from: DocumentSource;
     };
 
+/** Conditions that need an operator. */
 export type AlarmCode =
   'config-unreadable' | 'config-corrupt' | 'config-invalid' | 'config-differs' | 'config-ahead';
 
+/** Output of the reducer: a document to fetch, a new configuration, or an alarm. */
 export type InForceEffect =
   | { readonly kind: 'fetch'; readonly mark: VersionRef }
   | { readonly kind: 'in-force'; readonly config: Config }
@@ -66,31 +73,33 @@
 
 type InForceStep = Step<InForceState, InForceEffect>;
 
+/** State before the first version: an empty configuration as version 0. */
 export const NOTHING_IN_FORCE: InForceState = {
   mark: { version: brandAs<ConfigVersion>(0), hash: '' },
   document: undefined,
   config: EMPTY_CONFIG,
 };
 
+/** Applies one event; emits a fetch, a new configuration or an alarm. */
 export const reduceInForce = createReducer<InForceState, InForceEvent, InForceEffect>({
-  head: (state, event) => seeHead(state, event.mark),
+  head: (state, event) => onHead(state, event.mark),
   unreadable: (state, event) => next(state, alarm('config-unreadable', event.message)),
   pushed: (state, event) => {
     if (event.mark.version <= state.mark.version) return next(state);
     const { base, delta } = event;
-    const fits = base && delta && sameMark(base, state.mark);
-    if (!fits) return want(state, event.mark);
+    const fits = base && delta && isSameRef(base, state.mark);
+    if (!fits) return requestVersion(state, event.mark);
     const document = applyDelta(state.document ?? {}, delta);
-    if (hashDocument(document) !== event.mark.hash) return want(state, event.mark);
+    if (hashDocument(document) !== event.mark.hash) return requestVersion(state, event.mark);
     return accept(state, event.mark, document);
   },
   document: (state, event) => {
     if (event.mark.version < state.mark.version) return next(state);
-    if (sameMark(event.mark, state.mark)) return next(state);
+    if (isSameRef(event.mark, state.mark)) return next(state);
     const replaces = event.mark.version > state.mark.version || event.from === 'table';
-    if (!replaces) return next(state, differs(state));
+    if (!replaces) return next(state, conflictAlarm(state));
     if (hashDocument(event.document) !== event.mark.hash) {
-      const message = `version ${event.mark.version} from ${event.from} does not have its hash`;
+      const message = `document of version ${event.mark.version} from ${event.from} does not match the announced hash`;
       return next(state, alarm('config-corrupt', message));
     }
     return accept(state, event.mark, event.document);
@@ -101,38 +110,38 @@
   return { kind: 'alarm', code, message };
 }
 
-function differs(state: InForceState): InForceEffect {
-  const message = `a peer has another document as version ${state.mark.version}`;
+function conflictAlarm(state: InForceState): InForceEffect {
+  const message = `a peer has a different document for version ${state.mark.version}`;
   return alarm('config-differs', message);
 }
 
-function sameMark(a: VersionRef | undefined, b: VersionRef): boolean {
+function isSameRef(a: VersionRef | undefined, b: VersionRef): boolean {
   return a?.version === b.version && a.hash === b.hash;
 }
 
-function seeHead(state: InForceState, mark: VersionRef): InForceStep {
-  if (mark.version > state.mark.version) return want(state, mark);
+function onHead(state: InForceState, mark: VersionRef): InForceStep {
+  if (mark.version > state.mark.version) return requestVersion(state, mark);
   if (mark.version < state.mark.version || mark.hash === state.mark.hash) return next(state);
   return next(
     { ...state, wanted: mark },
-    alarm('config-differs', `the table has another document as version ${mark.version}`),
+    alarm('config-differs', `the table has a different document for version ${mark.version}`),
     { kind: 'fetch', mark },
   );
 }
 
-function want(state: InForceState, mark: VersionRef): InForceStep {
-  if (sameMark(state.refused, mark)) return next(state);
+function requestVersion(state: InForceState, mark: VersionRef): InForceStep {
+  if (isSameRef(state.refused, mark)) return next(state);
   const newest = state.wanted && state.wanted.version > mark.version ? state.wanted : mark;
   return next({ ...state, wanted: newest }, { kind: 'fetch', mark: newest });
 }
 
 function accept(state: InForceState, mark: VersionRef, document: Json): InForceStep {
-  const checked = checkDocument(document);
-  if (checked.isErr()) {
-    const message = `version ${mark.version} is not valid here: ${formatFieldErrors(checked.error)}`;
+  const validated = checkDocument(document);
+  if (validated.isErr()) {
+    const message = `document of version ${mark.version} is invalid on this daemon: ${formatFieldErrors(validated.error)}`;
     return next({ ...state, refused: mark }, alarm('config-invalid', message));
   }
-  const config = resolve(checked.value, mark.version);
+  const config = resolve(validated.value, mark.version);
   const { wanted, ...rest } = state;
   const held: InForceState = { ...rest, mark, document, config };
   const inForce: InForceEffect = { kind: 'in-force', config };
--- a/src/core/config/push.ts
+++ b/src/core/config/push.ts
@@ -1,4 +1,4 @@
-/** What a daemon tells its peers of a version it has accepted. */
+/** Builds the message that announces an accepted version to the peers. */
 
 import type { ConfigVersion } from '../ids';
 import type { Json } from '../json';
@@ -7,14 +7,17 @@
 import type { InForceState, VersionRef } from './in-force';
 import { hashDocument } from './rows';
 
-/** A version, with what changed since `base` where that is small. */
+/** A version, with the delta from `base` if that is small enough. */
 export interface Push {
   readonly mark: VersionRef;
   readonly base?: VersionRef;
   readonly delta?: Delta;
 }
 
-/** The push of a version accepted on the daemon whose state was `before`. */
+/**
+ * Announces a version accepted on this daemon, whose state was `before`. The delta is included only
+ * if `before` is the preceding version and the delta has at most `maxBytes` characters as JSON.
+ */
 export function createPush(
   before: InForceState,
   version: ConfigVersion,
--- a/src/core/config/resolve.ts
+++ b/src/core/config/resolve.ts
@@ -1,14 +1,18 @@
-/** Fills templates with organisations' parameters: from a checked document to a configuration. */
+/**
+ * Resolves a validated document to a configuration: merges templates and organisation parameters.
+ */
 
 import type { ConfigVersion, ModelId, OrganisationId, ServiceId } from '../ids';
 import { brandAs } from '../ids';
 import type { OrganisationSource, ResolvedDocument, TemplateSource } from './document';
 import type { CallerClass, Config, KeyGrant, ModelSpec, Organisation, ServiceSpec } from './types';
 
-/** Sums of fractions like 0.1 + 0.2 are rounded to this many parts before rounding up. */
+/**
+ * Parts per replica to which sums are rounded before rounding up: 0.1 + 0.2 is slightly above 0.3.
+ */
 const REPLICA_PARTS = 1_000_000;
 
-/** A record without a prototype, so that a name like `constructor` finds nothing. */
+/** A record without a prototype, so that looking up a name like `constructor` finds nothing. */
 function toRecord<T>(entries: Iterable<readonly [string, T]>): Readonly<Record<string, T>> {
   const record = Object.create(null) as Record<string, T>;
   for (const [key, value] of entries) record[key] = value;
@@ -86,7 +90,7 @@
   return { id: brandAs<ServiceId>(id), ...source };
 }
 
-/** The configuration that a checked document describes, as version `version`. */
+/** The configuration that a validated document describes. */
 export function resolve(doc: ResolvedDocument, version: ConfigVersion): Config {
   const organisations = Object.keys(doc.organisations).flatMap((id) =>
     resolveOrganisation(doc, id),
--- a/src/core/config/rows.ts
+++ b/src/core/config/rows.ts
@@ -1,9 +1,11 @@
 /**
- * Rows of the configuration in the table service.
+ * Rows of the configuration in the table service:
  *
- * `config/head` {version, changeId, hash}: the version in force; every write of the others is
- * conditional on it. `config/recent`: the latest change ids, for submitters whose answer was lost.
- * `config/v/{version}` {document, ...}: each version, the oldest deleted as new ones come.
+ * - `config/head` {version, changeId, hash}: the version in force. Every write to the other rows is
+ *   conditional on it.
+ * - `config/recent`: the latest change ids, for submitters whose answer was lost.
+ * - `config/v/{version}` {document, ...}: each version. The oldest is deleted when a new one is
+ *   added.
  */
 
 import { err, ok } from 'neverthrow';
@@ -16,25 +18,32 @@
 import { canonicalText } from '../json';
 import type { Json } from '../json';
 
-/** Grows when rows change their meaning; a daemon keeps what it has when it meets a newer one. */
+/**
+ * Increased when rows change their meaning. A daemon that reads a newer schema keeps its
+ * configuration.
+ */
 export const ROW_SCHEMA = 1;
 export const HEAD_KEY = 'config/head';
 export const RECENT_KEY = 'config/recent';
 export const VERSION_PREFIX = 'config/v/';
-/** Versions kept for reading back. */
+/** Number of versions kept in the table. */
 export const MAX_VERSIONS = 200;
-/** Change ids kept; a change id forgotten is refused by its `ifVersion`, never applied again. */
+/**
+ * Number of change ids kept. An older change is refused by its `ifVersion`, so it is never
+ * reapplied.
+ */
 export const MAX_RECENT_CHANGES = 200;
 
 const VERSION_DIGITS = 12;
 
+/** The version in force. */
 export interface HeadRow {
   readonly version: ConfigVersion;
   readonly changeId: ChangeId;
   readonly hash: string;
 }
 
-/** A change that was accepted, and the version it made or found. */
+/** An accepted change, and the version that it created or found in force. */
 export interface RecentChange {
   readonly changeId: ChangeId;
   readonly version: ConfigVersion;
@@ -42,13 +51,15 @@
   readonly hash: string;
 }
 
+/** A version with its document. */
 export interface VersionRow extends HeadRow {
   readonly document: Json;
 }
 
-/** A row as the table service gives it. */
+/** A row as the table service returns it. */
 export interface StoredRow {
   readonly key: string;
+  /** Row version, for conditional writes; not the version of the configuration. */
   readonly version: number;
   readonly value: Json;
 }
@@ -69,14 +80,14 @@
   changes: z.array(z.object({ changeId, version, hash: z.string() })),
 });
 
-/** Why a row cannot be used. */
+/** A row that could not be parsed. */
 export interface UnreadableRow {
   readonly key: string;
   readonly message: string;
 }
 
-function parseRow<T>(row: StoredRow, shape: z.ZodType<T>): Result<T, UnreadableRow> {
-  const parsed = shape.safeParse(row.value);
+function parseRow<T>(row: StoredRow, rowSchema: z.ZodType<T>): Result<T, UnreadableRow> {
+  const parsed = rowSchema.safeParse(row.value);
   if (parsed.success) return ok(parsed.data);
   return err({ key: row.key, message: 'unknown schema or damaged row' });
 }
@@ -93,15 +104,18 @@
   return parseRow(row, recentRow).map((value) => value.changes);
 }
 
+/** The value to store in the head row. */
 export function headValue(row: HeadRow): Json {
   return { schema: ROW_SCHEMA, version: row.version, changeId: row.changeId, hash: row.hash };
 }
 
+/** The value to store in a version row. */
 export function versionValue(row: VersionRow): Json {
   const { version: number, changeId: id, hash, document } = row;
   return { schema: ROW_SCHEMA, version: number, changeId: id, hash, document };
 }
 
+/** The value to store in the row of recent changes: the newest `MAX_RECENT_CHANGES`. */
 export function recentValue(changes: readonly RecentChange[]): Json {
   return {
     schema: ROW_SCHEMA,
@@ -109,17 +123,17 @@
   };
 }
 
-/** Key of a version's row; keys sort as versions do. */
+/** Key of a version's row; zero-padded, so that keys sort in version order. */
 export function versionKey(number: number): string {
   return VERSION_PREFIX + String(number).padStart(VERSION_DIGITS, '0');
 }
 
-/** The version that a row's key names. */
+/** The version in the key of a version row. */
 export function versionOfKey(key: string): ConfigVersion {
   return brandAs<ConfigVersion>(Number(key.slice(VERSION_PREFIX.length)));
 }
 
-/** Hash of a document, the same for every order of its fields. */
+/** Hash of a document; independent of the order of its fields. */
 export function hashDocument(document: Json): string {
   return hashParts(canonicalText(document));
 }
--- a/src/core/config/scope.ts
+++ b/src/core/config/scope.ts
@@ -1,4 +1,6 @@
-/** What an organisation's operator sees of the document, and what it may change. */
+/**
+ * Limits an organisation's operator to its own part of the document, for reading and for changes.
+ */
 
 import { isRecord } from '../../utils/is';
 import { canonicalText } from '../json';
@@ -21,8 +23,8 @@
 }
 
 /**
- * The document as an organisation's operator reads it: its own parameters, its template, its
- * services without the addresses of their backend servers, its keys.
+ * The part of the document that an organisation's operator may read: its parameters, its template,
+ * its services without the addresses of their backend servers, and its keys.
  */
 export function scopeDocument(document: Json, organisation: string): Json {
   const doc = recordOf(document);
@@ -49,15 +51,15 @@
 function withoutOrganisation(document: Json, organisation: string): string {
   const doc = recordOf(document);
   const { [organisation]: own, ...others } = recordOf(doc.organisations);
-  // The template is no parameter: it stays what the platform's operator chose.
+  // Only the platform's operator may change the template, so it counts as part of the rest.
   const template = recordOf(own).template ?? null;
   return canonicalText({ ...doc, organisations: others, template });
 }
 
 /**
- * The document in force with the organisation's own parameters taken from `submitted`, which is
- * either the whole document or what {@link scopeDocument} showed; undefined if anything else
- * differs.
+ * The document in force with the organisation's parameters replaced by those of `submitted`, which
+ * is either the complete document or the result of {@link scopeDocument}. `undefined` if anything
+ * else differs.
  */
 export function mergeOwnParameters(
   current: Json,
--- a/src/core/config/submit.ts
+++ b/src/core/config/submit.ts
@@ -1,10 +1,10 @@
 /**
- * One submitted change, from its first read of the table to its answer.
+ * Reducer for one submitted change, from the first read of the table to the answer.
  *
- * The change is written in one transaction on the condition that the head is still the version it
- * was made from, so that it takes effect at most once however often it is tried. When an answer
- * of the table is lost, the rows are read back and looked through for the change's id; a write
- * still on its way can then only find another head and fail.
+ * The change is written in one transaction, conditional on the head that it was based on, so it
+ * takes effect at most once however often it is tried. If an answer of the table is lost, the rows
+ * are read again and searched for the change's id; a write still in flight then finds another head
+ * and fails.
  */
 
 import { ok } from 'neverthrow';
@@ -35,10 +35,10 @@
 import { mergeOwnParameters } from './scope';
 
 const FIRST_WAIT_MS = 50;
-const LONGEST_WAIT_MS = 1600;
-/** A document must fit into one row and one message between daemons. */
+const MAX_WAIT_MS = 1600;
+/** Maximum characters of a document as JSON, so that it fits in one row and one peer message. */
 const MAX_DOCUMENT_LENGTH = 1_000_000;
-/** Errors of the table that promise that nothing was written. */
+/** Errors of the table after which nothing was written for certain. */
 const NOTHING_WRITTEN: readonly ErrorCode[] = ['store-unavailable', 'too-many-requests'];
 
 /** A change as submitted; see `ConfigChange` in `app/parts.ts`. */
@@ -49,16 +49,17 @@
   readonly organisation?: string;
 }
 
+/** State of one submission. */
 export interface SubmitState {
   readonly change: Change;
-  /** Given up on after this. */
+  /** No retry starts after this instant. */
   readonly deadline: MonoTime;
   readonly phase: 'reading' | 'committing' | 'waiting' | 'answered';
   /** The candidate being committed. */
   readonly candidate?: Candidate;
-  /** Tries so far, for growing waits. */
+  /** Failed tries so far, for the backoff. */
   readonly tries: number;
-  /** A commit was sent whose answer was lost. */
+  /** Whether a commit was sent whose answer was lost. */
   readonly maybeWritten: boolean;
 }
 
@@ -67,26 +68,29 @@
   readonly document: Json;
 }
 
-/** What the table holds when a change is decided. */
+/** The rows of the table on which a change is decided. */
 export interface TableSnapshot {
   readonly head: StoredRow | undefined;
   readonly recent: StoredRow | undefined;
-  /** Document of the head; only needed for an organisation's operator. */
+  /** Document of the head; needed only for a change by an organisation's operator. */
   readonly document?: Json;
 }
 
+/** Writes that take effect together if every row still has the given version. */
 export interface SubmitTransaction {
   readonly conditions: readonly { readonly key: string; readonly version: number }[];
   readonly writes: readonly { readonly key: string; readonly value?: Json }[];
 }
 
+/** The change is in effect as `version`. */
 export interface Accepted {
   readonly kind: 'accepted';
   readonly version: ConfigVersion;
-  /** Absent for a repeated change: read it from the version's row. */
+  /** Absent for a repeated change; the version's row has it. */
   readonly document?: Json;
 }
 
+/** The change was refused, or its outcome is unknown (`store-unknown`). */
 export interface Refused {
   readonly kind: 'refused';
   readonly code: ErrorCode;
@@ -95,6 +99,7 @@
 
 export type SubmitAnswer = Accepted | Refused;
 
+/** Results of the effects. */
 export type SubmitEvent =
   | { readonly kind: 'read'; readonly view: TableSnapshot }
   | { readonly kind: 'read-failed' }
@@ -102,6 +107,7 @@
   | { readonly kind: 'commit-failed'; readonly code: ErrorCode }
   | { readonly kind: 'waited' };
 
+/** What the caller carries out; each yields one event, but `answer` ends the submission. */
 export type SubmitEffect =
   | { readonly kind: 'read'; readonly withDocument: boolean }
   | { readonly kind: 'commit'; readonly transaction: SubmitTransaction }
@@ -110,12 +116,16 @@
 
 type SubmitStep = Step<SubmitState, SubmitEffect>;
 
-/** Starts a change; carry out its effects and feed the outcome back until it answers. */
+/**
+ * Starts a submission. Carry out its effects and feed the results to `reduceSubmit` until it
+ * answers.
+ */
 export function startSubmit(change: Change, deadline: MonoTime): SubmitStep {
   const state: SubmitState = { change, deadline, phase: 'reading', tries: 0, maybeWritten: false };
   return next(state, readEffect(change));
 }
 
+/** Applies one event to a submission. */
 export const reduceSubmit = createReducer<SubmitState, SubmitEvent, SubmitEffect>({
   read: (state, event) => decide({ ...state, phase: 'reading' }, event.view),
   'read-failed': (state, _, { now }) => retryOrGiveUp(state, now),
@@ -140,7 +150,7 @@
   return answer(state, { kind: 'refused', code, message });
 }
 
-/** Hash of what was submitted: the same id with another content is another change. */
+/** Hash of the submitted content; tells a repeated change from a reused change id. */
 export function hashChange(change: Change): string {
   return hashParts(canonicalText(change.document), change.organisation ?? '');
 }
@@ -153,68 +163,72 @@
     ? parseRecent(view.recent)
     : ok([]);
   if (head.isErr() || recent.isErr()) {
-    return refuse(state, 'unavailable', 'the configuration in the table cannot be read');
+    return refuse(
+      state,
+      'unavailable',
+      'the configuration rows in the table are damaged or have an unknown schema',
+    );
   }
-  const known: Known = { head: head.value, changes: recent.value, view };
-  return decideKnown(state, known);
+  const parsed: ParsedTable = { head: head.value, changes: recent.value, view };
+  return decideParsed(state, parsed);
 }
 
-/** The table's rows, parsed. */
-interface Known {
+/** Parsed rows of the table. */
+interface ParsedTable {
   readonly head: HeadRow | undefined;
   readonly changes: readonly RecentChange[];
   readonly view: TableSnapshot;
 }
 
-function decideKnown(state: SubmitState, known: Known): SubmitStep {
+function decideParsed(state: SubmitState, parsed: ParsedTable): SubmitStep {
   const { change } = state;
-  const earlier = known.changes.find((past) => past.changeId === change.changeId);
-  if (earlier) return answerEarlier(state, earlier);
-  const current = known.head?.version ?? 0;
+  const earlier = parsed.changes.find((past) => past.changeId === change.changeId);
+  if (earlier) return answerRepeated(state, earlier);
+  const current = parsed.head?.version ?? 0;
   if (change.ifVersion !== undefined && change.ifVersion !== current) {
     return refuse(
       state,
       'conflict',
-      `version ${current} is in force; the change was made from version ${change.ifVersion}`,
+      `version ${current} is in force, but the change is based on version ${change.ifVersion}`,
     );
   }
-  return decideDocument(state, known);
+  return decideDocument(state, parsed);
 }
 
-function answerEarlier(state: SubmitState, earlier: RecentChange): SubmitStep {
+function answerRepeated(state: SubmitState, earlier: RecentChange): SubmitStep {
   if (earlier.hash === hashChange(state.change)) {
     return answer(state, { kind: 'accepted', version: earlier.version });
   }
-  const message = `change id ${earlier.changeId} already made version ${earlier.version} with another content`;
+  const message = `change id ${earlier.changeId} was already used for version ${earlier.version} with different content`;
   return refuse(state, 'key-reused', message);
 }
 
-function decideDocument(state: SubmitState, known: Known): SubmitStep {
+function decideDocument(state: SubmitState, parsed: ParsedTable): SubmitStep {
   const { change } = state;
-  const document = mergeDocument(change, known);
+  const document = mergeDocument(change, parsed);
   if (document === undefined) {
-    const message = `only the parameters of organisation ${change.organisation ?? ''} may be changed`;
+    const message = `an operator of organisation ${change.organisation ?? ''} may change only the parameters of that organisation`;
     return refuse(state, 'forbidden', message);
   }
   if (canonicalText(document).length > MAX_DOCUMENT_LENGTH) {
-    const message = `a document has at most ${MAX_DOCUMENT_LENGTH} characters as JSON`;
+    const message = `the document exceeds ${MAX_DOCUMENT_LENGTH} characters as JSON`;
     return refuse(state, 'body-too-large', message);
   }
   const checked = checkDocument(document);
   if (checked.isErr()) return refuse(state, 'bad-request', formatFieldErrors(checked.error));
   const hash = hashDocument(document);
-  if (known.head?.hash === hash) return commitNoChange(state, known.head, known, document);
-  if (known.head && change.ifVersion === undefined) {
-    const message = `version ${known.head.version} is in force; say which version the change was made from`;
+  if (parsed.head?.hash === hash) return commitNoChange(state, parsed.head, parsed, document);
+  if (parsed.head && change.ifVersion === undefined) {
+    const message = `version ${parsed.head.version} is in force; state the version that the change is based on`;
     return refuse(state, 'precondition-required', message);
   }
-  return commitVersion(state, known, document, hash);
+  return commitVersion(state, parsed, document, hash);
 }
 
-function mergeDocument(change: Change, known: Known): Json | undefined {
+function mergeDocument(change: Change, parsed: ParsedTable): Json | undefined {
   if (change.organisation === undefined) return change.document;
-  if (known.view.document === undefined) return undefined;
-  return mergeOwnParameters(known.view.document, change.document, change.organisation);
+  if (parsed.view.document === undefined) return undefined;
+  return mergeOwnParameters(parsed.view.document, change.document, change.organisation);
 }
 
 function conditionsOn(view: TableSnapshot): SubmitTransaction['conditions'] {
@@ -226,37 +240,42 @@
 
 function recentWith(
   state: SubmitState,
-  known: Known,
+  parsed: ParsedTable,
   version: ConfigVersion,
 ): SubmitTransaction['writes'][number] {
   const { change } = state;
   const entry = { changeId: change.changeId, version, hash: hashChange(change) };
-  return { key: RECENT_KEY, value: recentValue([...known.changes, entry]) };
+  return { key: RECENT_KEY, value: recentValue([...parsed.changes, entry]) };
 }
 
-/** The document is in force already: only the change's id is kept. */
+/** The document is already in force, so only the change id is recorded. */
 function commitNoChange(
   state: SubmitState,
   head: HeadRow,
-  known: Known,
+  parsed: ParsedTable,
   document: Json,
 ): SubmitStep {
   const { version } = head;
-  const writes = [recentWith(state, known, version)];
-  return commit(state, { version, document }, { conditions: conditionsOn(known.view), writes });
+  const writes = [recentWith(state, parsed, version)];
+  return commit(state, { version, document }, { conditions: conditionsOn(parsed.view), writes });
 }
 
-function commitVersion(state: SubmitState, known: Known, document: Json, hash: string): SubmitStep {
+function commitVersion(
+  state: SubmitState,
+  parsed: ParsedTable,
+  document: Json,
+  hash: string,
+): SubmitStep {
   const { changeId } = state.change;
-  const version = brandAs<ConfigVersion>((known.head?.version ?? 0) + 1);
+  const version = brandAs<ConfigVersion>((parsed.head?.version ?? 0) + 1);
   const head: HeadRow = { version, changeId, hash };
   const writes = [
     { key: HEAD_KEY, value: headValue(head) },
-    recentWith(state, known, version),
+    recentWith(state, parsed, version),
     { key: versionKey(version), value: versionValue({ ...head, document }) },
     ...(version > MAX_VERSIONS ? [{ key: versionKey(version - MAX_VERSIONS) }] : []),
   ];
-  return commit(state, { version, document }, { conditions: conditionsOn(known.view), writes });
+  return commit(state, { version, document }, { conditions: conditionsOn(parsed.view), writes });
 }
 
 function commit(
@@ -268,7 +287,8 @@
 }
 
 function afterFailedCommit(state: SubmitState, code: ErrorCode, now: MonoTime): SubmitStep {
-  // Someone else was faster, or an earlier try of this change took effect: the rows tell which.
+  // Another change was committed first, or an earlier try of this one took effect; the rows show
+  // which.
   if (code === 'conflict') return retryOrGiveUp(state, now);
   const maybeWritten = state.maybeWritten || !NOTHING_WRITTEN.includes(code);
   return retryOrGiveUp({ ...state, maybeWritten }, now);
@@ -276,17 +296,17 @@
 
 function retryOrGiveUp(state: SubmitState, now: MonoTime): SubmitStep {
   if (now < state.deadline) {
-    const ms = Math.min(FIRST_WAIT_MS * 2 ** state.tries, LONGEST_WAIT_MS);
+    const ms = Math.min(FIRST_WAIT_MS * 2 ** state.tries, MAX_WAIT_MS);
     return next({ ...state, phase: 'waiting', tries: state.tries + 1 }, { kind: 'wait', ms });
   }
   if (!state.maybeWritten) {
     return refuse(
       state,
       'store-unavailable',
-      'the table service did not answer; this submission changed nothing',
+      'the table service did not commit the change before the deadline; this submission changed nothing',
     );
   }
   const message =
-    'the change may have taken effect; submit it again with the same change id to learn the outcome';
+    'the change may have taken effect; submit it again with the same change id to get the outcome';
   return refuse(state, 'store-unknown', message);
 }
--- a/src/core/config/types.ts
+++ b/src/core/config/types.ts
@@ -1,26 +1,27 @@
-/** The configuration in force, as every daemon holds it once templates are filled in. */
+/** The resolved configuration, as every daemon has it in force. */
 
 import type { ConfigVersion, ModelId, OrganisationId, ServiceId } from '../ids';
 
-/** How urgent a kind of caller is. */
+/** Priority and limits of a kind of caller. */
 export interface CallerClass {
   readonly name: string;
   /** Worth of one answered request, in the template's own unit; above 0. */
   readonly worth: number;
   /** Default deadline of a request after its arrival, milliseconds. */
   readonly deadlineMs: number;
-  /** Requests in flight that this class may have on one daemon. */
+  /** Maximum requests in flight of this class of an organisation on one daemon. */
   readonly maxInFlight: number;
 }
 
-/** What the operators weigh when groups are placed and replaced. */
+/** Costs that the operators set for forming and replacing groups. */
 export interface GroupWeights {
-  /** Cost of one second in which one replica group cannot serve. */
+  /** Cost per second during which one replica group cannot serve. */
   readonly downtime: number;
-  /** Cost of one second in which one accelerator is held by no serving group. */
+  /** Cost per second during which one accelerator belongs to no serving group. */
   readonly stranded: number;
 }
 
+/** An organisation with its template applied. */
 export interface Organisation {
   readonly id: OrganisationId;
   readonly template: string;
@@ -33,26 +34,28 @@
   readonly weights: GroupWeights;
 }
 
+/** A model, and how many replica groups of which size serve it. */
 export interface ModelSpec {
   readonly id: ModelId;
   /** Instances that form one replica. */
   readonly membersPerReplica: number;
-  /** Replicas wanted: the sum over the organisations. */
+  /** Target number of replicas: the sum over the organisations, rounded up. */
   readonly replicas: number;
-  /** Requests one replica runs at a time. */
+  /** Requests that one replica runs concurrently. */
   readonly maxBatch: number;
   readonly weights: GroupWeights;
   /** Names of the policies in use; see `core/groups`. */
   readonly policies: Readonly<Record<string, string>>;
 }
 
-/** A call of a plain service that may be sent again. */
+/** A call of a plain service that is safe to repeat. */
 export interface RepeatableCall {
   readonly method: string;
   /** Prefix of the path below the service. */
   readonly path: string;
 }
 
+/** A plain HTTP service behind the gateway. */
 export interface ServiceSpec {
   readonly id: ServiceId;
   /** `host:port` of each backend server. */
@@ -60,19 +63,20 @@
   readonly repeatable: readonly RepeatableCall[];
   /** Whether the service itself runs a call with a known `Idempotency-Key` only once. */
   readonly honoursIdempotencyKey: boolean;
-  /** Requests in flight to one backend server from one daemon. */
+  /** Maximum requests in flight from one daemon to one backend server. */
   readonly maxInFlight: number;
 }
 
-/** What a key lets its bearer do. */
+/** Permissions of an API key. */
 export interface KeyGrant {
-  /** Absent for an operator of the whole platform. */
+  /** Absent for an operator of the platform. */
   readonly organisation?: OrganisationId;
   readonly role: 'caller' | 'operator';
   /** The caller's class; for callers only. */
   readonly class?: string;
 }
 
+/** One version of the configuration. */
 export interface Config {
   readonly version: ConfigVersion;
   readonly organisations: Readonly<Record<string, Organisation>>;
@@ -82,7 +86,7 @@
   readonly keys: Readonly<Record<string, KeyGrant>>;
 }
 
-/** Before any configuration was accepted. */
+/** The configuration before the first version. */
 export const EMPTY_CONFIG: Config = {
   version: 0 as ConfigVersion,
   organisations: {},
--- a/tests/config-check.test.ts
+++ b/tests/config-check.test.ts
@@ -1,3 +1,5 @@
+/** Validation and resolution of configuration documents, and parsing of the examples. */
+
 import { readFileSync } from 'node:fs';
 import { describe, expect, it } from 'vitest';
 
@@ -7,19 +9,19 @@
 import type { ConfigVersion } from '../src/core/ids';
 import { DOCUMENT, HASHES } from './support/config-documents';
 
-function faultsOf(change: object): string[] {
+function errorPathsOf(change: object): string[] {
   const result = checkDocument({ ...DOCUMENT, ...change });
-  return result.isErr() ? result.error.map((fault) => fault.path) : [];
+  return result.isErr() ? result.error.map((error) => error.path) : [];
 }
 
 describe('checkDocument', () => {
-  it('names every wrong field by its path', () => {
-    const faults = faultsOf({
+  it('reports every invalid field by its path', () => {
+    const paths = errorPathsOf({
       organisations: { rennes: { template: 'depot', share: -1, replicas: { query: 'two' } } },
       services: { ledger: { backends: ['localhost:80'], colour: 'red' } },
       extra: 1,
     });
-    expect(faults.sort()).toEqual([
+    expect(paths.sort()).toEqual([
       'extra',
       'organisations.rennes.replicas.query',
       'organisations.rennes.share',
@@ -35,7 +37,7 @@
       'organisations.rennes.template',
     ],
     [
-      'a template named like a property of every object',
+      'a template named like a property of Object.prototype',
       { organisations: { rennes: { template: 'constructor' } } },
       'organisations.rennes.template',
     ],
@@ -60,10 +62,10 @@
       'organisations.rennes.share',
     ],
   ])('refuses %s', (_, change, path) => {
-    expect(faultsOf({ ...change, keys: [] })).toEqual([path]);
+    expect(errorPathsOf({ ...change, keys: [] })).toEqual([path]);
   });
 
-  it('refuses the same key twice, a caller key without class, and an unknown organisation', () => {
+  it('refuses a duplicate key, a caller key without a class, and an unknown organisation', () => {
     const keys = [
       { hash: HASHES.caller, role: 'operator' },
       { hash: HASHES.caller, role: 'operator' },
@@ -71,24 +73,24 @@
       { hash: HASHES.operator, role: 'operator', organisation: 'none' },
       { hash: 'plain-key', role: 'operator' },
     ];
-    expect(faultsOf({ keys })).toEqual(['keys[4].hash']);
-    expect(faultsOf({ keys: keys.slice(0, 4) })).toEqual([
+    expect(errorPathsOf({ keys })).toEqual(['keys[4].hash']);
+    expect(errorPathsOf({ keys: keys.slice(0, 4) })).toEqual([
       'keys[1].hash',
       'keys[2].class',
       'keys[3].organisation',
     ]);
   });
 
-  it('refuses one model in two templates', () => {
+  it('refuses a model in two templates', () => {
     const { depot } = DOCUMENT.templates;
-    expect(faultsOf({ templates: { depot, other: depot } })).toEqual([
+    expect(errorPathsOf({ templates: { depot, other: depot } })).toEqual([
       'templates.other.models.query',
     ]);
   });
 });
 
 describe('resolve', () => {
-  it('fills templates in, lays overrides over and rounds pooled replicas up', () => {
+  it('fills in templates, applies overrides and rounds pooled replicas up', () => {
     const doc = checkDocument(DOCUMENT)._unsafeUnwrap();
     const config = resolve(doc, 3 as ConfigVersion);
     expect(config.version).toBe(3);
@@ -107,7 +109,7 @@
     });
   });
 
-  it('finds nothing under a name that every object inherits', () => {
+  it('finds nothing under a name from Object.prototype', () => {
     const config = resolve(checkDocument(DOCUMENT)._unsafeUnwrap(), 1 as ConfigVersion);
     expect(config.models.constructor).toBeUndefined();
     expect(Object.keys(config.organisations.rennes?.classes ?? {})).toEqual(['pharmacist']);
--- a/tests/config-submit.test.ts
+++ b/tests/config-submit.test.ts
@@ -1,3 +1,8 @@
+/**
+ * Submission of configuration changes: versions, repeats, table failures and an organisation's
+ * scope.
+ */
+
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 
 import { scopeDocument } from '../src/core/config/scope';
@@ -42,7 +47,7 @@
     expect(shareIn(daemon.config)).toBe(2);
   });
 
-  it('refuses a whole document that names no version once one is in force', async () => {
+  it('refuses a complete document without a version once one is in force', async () => {
     await amend(daemon, 'c1', 1, 0);
     expect(await codeOf({ document: documentWith(2) })).toBe('precondition-required');
   });
@@ -54,21 +59,21 @@
     expect((await daemon.config.versions())._unsafeUnwrap()).toEqual([1]);
   });
 
-  it('gives the same answer to the same change, also when versions have moved on', async () => {
+  it('gives the same answer to a repeated change, even after newer versions', async () => {
     await amend(daemon, 'c1', 1, 0);
     await amend(daemon, 'c2', 2, 1);
     expect((await amend(daemon, 'c1', 1, 0)).version).toBe(1);
     expect(shareIn(daemon.config)).toBe(2);
   });
 
-  it('refuses a change id that was used for another content', async () => {
+  it('refuses a change id that was used for different content', async () => {
     await amend(daemon, 'c1', 1, 0);
     expect(await codeOf({ changeId: 'c1', document: documentWith(2), ifVersion: V1 })).toBe(
       'key-reused',
     );
   });
 
-  it('names the wrong field of a bad document', async () => {
+  it('names the invalid field of a document', async () => {
     const done = await daemon.config.submit({
       changeId: 'x',
       document: { templates: {}, oops: 1 },
@@ -76,23 +81,23 @@
     expect(done._unsafeUnwrapErr().message).toMatch(/oops: unknown field/);
   });
 
-  it('lets one of several racing operators win and tells the others', async () => {
+  it('accepts one of several concurrent changes and refuses the others', async () => {
     await amend(daemon, 'c0', 1, 0);
     const other = world.daemon('b');
-    const racers = [2, 3, 4, 5].map((share, i) =>
+    const submissions = [2, 3, 4, 5].map((share, i) =>
       amend(i % 2 === 0 ? daemon : other, `c${share}`, share, 1).then(
         () => share,
         () => undefined,
       ),
     );
-    const winners = (await Promise.all(racers)).filter((share) => share !== undefined);
+    const winners = (await Promise.all(submissions)).filter((share) => share !== undefined);
     expect(winners).toHaveLength(1);
     expect(shareIn(daemon.config) ?? shareIn(other.config)).toBe(winners[0]);
   });
 });
 
 describe('submit with a failing table', () => {
-  it('finds out by its change id that a change took effect when the answer is lost', async () => {
+  it('recognises by its change id that a change took effect when the answer was lost', async () => {
     daemon.faults.lostAnswers = 1;
     expect((await amend(daemon, 'c1', 1, 0)).version).toBe(1);
     daemon.faults.lostAnswers = 1;
@@ -101,12 +106,12 @@
     expect((await daemon.config.versions())._unsafeUnwrap()).toEqual([1, 2]);
   });
 
-  it('tries again when the request itself was lost', async () => {
+  it('retries when the request itself was lost', async () => {
     daemon.faults.lostRequests = 1;
     expect((await amend(daemon, 'c1', 1, 0)).version).toBe(1);
   });
 
-  it('applies a change once when a lost request arrives after the second try', async () => {
+  it('applies a change once when a late request arrives after the retry', async () => {
     daemon.faults.lateRequests = 1;
     await amend(daemon, 'c1', 1, 0);
     await amend(daemon, 'c2', 2, 1);
@@ -114,12 +119,12 @@
     expect((await daemon.config.read())._unsafeUnwrap().version).toBe(2);
   });
 
-  it('says that nothing changed when the table is down', async () => {
+  it('reports that nothing changed when the table is down', async () => {
     daemon.faults.down = true;
     expect(await codeOf({})).toBe('store-unavailable');
   });
 
-  it('says that the outcome is unknown when it cannot be read back', async () => {
+  it('reports an unknown outcome when the rows cannot be read again', async () => {
     daemon.faults.lostAnswers = 1000;
     const submitted = codeOf({ changeId: 'c1', document: documentWith(1) });
     while (world.table.counts.commits === 0) await Promise.resolve();
@@ -130,7 +135,7 @@
     expect((await amend(daemon, 'c1', 1, 0)).version).toBe(1);
   });
 
-  it('deletes the oldest versions as new ones come', async () => {
+  it('deletes the oldest version when a new one is added', async () => {
     for (let n = 0; n < 203; n += 1) await amend(daemon, `c${n}`, 1 + (n % 9), n);
     const versions = (await daemon.config.versions())._unsafeUnwrap();
     expect(versions[0]).toBe(4);
@@ -151,11 +156,11 @@
     await daemon.config.submit({ changeId: 'c1', document: DOCUMENT });
   });
 
-  it('amends its own parameters in the whole document or in its view of it', async () => {
-    const whole = ownAmended(DOCUMENT, 4);
-    const first = { changeId: 'o1', ifVersion: V1, document: whole, organisation };
+  it('changes its own parameters in the complete document or in its own part of it', async () => {
+    const complete = ownAmended(DOCUMENT, 4);
+    const first = { changeId: 'o1', ifVersion: V1, document: complete, organisation };
     expect((await daemon.config.submit(first))._unsafeUnwrap().version).toBe(2);
-    const view = ownAmended(scopeDocument(whole, organisation), 5);
+    const view = ownAmended(scopeDocument(complete, organisation), 5);
     const second = { ...first, changeId: 'o2', ifVersion: 2 as ConfigVersion, document: view };
     expect((await daemon.config.submit(second))._unsafeUnwrap().version).toBe(3);
     expect(daemon.config.current().organisations.rennes?.share).toBe(5);
@@ -178,7 +183,7 @@
     expect(await codeOf({ ifVersion: V1, document, organisation })).toBe('forbidden');
   });
 
-  it('sees nothing of another organisation', () => {
+  it('reads nothing of another organisation', () => {
     const view = JSON.stringify(scopeDocument(DOCUMENT, 'brest'));
     expect(view).not.toMatch(/rennes|127\.0\.0\.1|backends/);
   });
--- a/tests/fuzz/config-world.ts
+++ b/tests/fuzz/config-world.ts
@@ -1,6 +1,6 @@
 /**
- * The configuration reducers of several daemons around a table whose answers may be lost, late or
- * missing, and the oracle: the list of documents as the table accepted them.
+ * Simulates the configuration reducers of several daemons on a table whose answers may be lost,
+ * late or missing. The oracle is the list of documents that the table accepted.
  */
 
 import {
@@ -28,6 +28,7 @@
 import type { Json, Row } from '../../src/ports/platform';
 import { documentWith } from '../support/config-documents';
 
+/** Fault of one call to the table; `late`: the write takes effect some time after the error. */
 export type Fault = 'none' | 'down' | 'lost-answer' | 'lost-request' | 'late';
 
 interface Submission {
@@ -39,9 +40,9 @@
 
 interface Daemon {
   state: InForceState;
-  /** Fetches on their way; an old one may arrive last. */
+  /** Fetches in progress; they may complete in any order. */
   fetches: VersionRef[];
-  cut: boolean;
+  isPartitioned: boolean;
 }
 
 interface PushInFlight {
@@ -54,23 +55,25 @@
   readonly by: Submission;
 }
 
+/** A version in the order of the table's commits. */
 export interface AcceptedVersion {
   readonly changeId: string;
   readonly hash: string;
-  /** The submission whose write took effect: a change may be submitted more than once. */
+  /** The submission whose write took effect; a change may be submitted several times. */
   readonly by: Submission;
 }
 
 const SUBMIT_MS = 2000;
 const DAEMONS = 3;
 const PUSH_BYTES = 2048;
-const SAYS_NOTHING_OF_OTHERS: readonly string[] = ['store-unavailable'];
+/** Codes that state the outcome of this submission only, not of earlier ones of the same change. */
+const OWN_OUTCOME_ONLY: readonly string[] = ['store-unavailable'];
 
 function check(condition: boolean, message: string): void {
   if (!condition) throw new Error(message);
 }
 
-/** The table, the daemons and what is on its way between them. */
+/** State of the simulation: the table, the daemons and the messages in flight. */
 export interface ConfigWorld {
   readonly rows: Map<string, Row>;
   readonly late: LateTransaction[];
@@ -78,7 +81,7 @@
   readonly submissions: Submission[];
   readonly answers: Answered[];
   readonly daemons: readonly Daemon[];
-  /** The oracle: what the table holds as version 1, 2 and so on. */
+  /** The oracle: the accepted versions 1, 2 and so on. */
   readonly history: AcceptedVersion[];
   counter: number;
   now: MonoTime;
@@ -93,7 +96,7 @@
   const daemons = Array.from({ length: DAEMONS }, (): Daemon => ({
     state: NOTHING_IN_FORCE,
     fetches: [],
-    cut: false,
+    isPartitioned: false,
   }));
   return {
     rows: new Map(),
@@ -108,6 +111,7 @@
   };
 }
 
+/** Submits a document, with or without the version that it is based on. */
 export function submit(
   world: ConfigWorld,
   daemon: number,
@@ -123,7 +127,7 @@
   start(world, daemon, change);
 }
 
-/** Submits an amendment of the head and carries it out without a fault. */
+/** Submits a change based on the head and completes it without a fault. */
 export function amend(world: ConfigWorld, daemon: number, share: number): void {
   const changeId = `c${world.submissions.length}` as ChangeId;
   const ifVersion = world.history.length as ConfigVersion;
@@ -132,49 +136,53 @@
   while (submission?.effect) carryOut(world, submission, 'none');
 }
 
-/** An operator who had no answer, or an answer that says unknown, sends its change again. */
+/** Submits an earlier change again, as after a lost answer or an unknown outcome. */
 export function submitAgain(world: ConfigWorld, index: number, daemon: number): void {
   const earlier = pick(world.submissions, index);
   if (earlier) start(world, daemon, earlier.change);
 }
 
-/** Carries out the next effect of a submission, with a fault of the table. */
+/** Carries out the next effect of a submission, with this fault of the table. */
 export function advance(world: ConfigWorld, index: number, fault: Fault): void {
   const open = world.submissions.filter(({ effect }) => effect !== undefined);
   const submission = pick(open, index);
   if (submission) carryOut(world, submission, fault);
 }
 
+/** Applies a late write. */
 export function applyLate(world: ConfigWorld, index: number): void {
-  const arriving = pick(world.late, index);
-  if (!arriving) return;
-  world.late.splice(world.late.indexOf(arriving), 1);
-  apply(world, arriving.transaction, arriving.by);
+  const late = pick(world.late, index);
+  if (!late) return;
+  world.late.splice(world.late.indexOf(late), 1);
+  apply(world, late.transaction, late.by);
 }
 
-/** A pushed change arrives; `again` leaves it to arrive once more, `damaged` changes it. */
+/**
+ * Delivers a push; `again` leaves it in flight for another delivery, `damaged` corrupts its delta.
+ */
 export function deliver(
   world: ConfigWorld,
   index: number,
   how: 'once' | 'again' | 'lost' | 'damaged',
 ): void {
-  const flying = pick(world.pushes, index);
-  if (!flying) return;
-  if (how !== 'again') world.pushes.splice(world.pushes.indexOf(flying), 1);
-  if (how === 'lost' || daemonAt(world, flying.to).cut) return;
-  dispatch(world, flying.to, {
+  const inFlight = pick(world.pushes, index);
+  if (!inFlight) return;
+  if (how !== 'again') world.pushes.splice(world.pushes.indexOf(inFlight), 1);
+  if (how === 'lost' || daemonAt(world, inFlight.to).isPartitioned) return;
+  dispatch(world, inFlight.to, {
     kind: 'pushed',
-    ...(how === 'damaged' ? damage(flying.push) : flying.push),
+    ...(how === 'damaged' ? damage(inFlight.push) : inFlight.push),
   });
 }
 
+/** Reads the head from the table. */
 export function poll(world: ConfigWorld, index: number): void {
-  if (daemonAt(world, index).cut) return;
+  if (daemonAt(world, index).isPartitioned) return;
   const row = world.rows.get(HEAD_KEY);
   if (row) dispatch(world, index, { kind: 'head', mark: parseHead(row)._unsafeUnwrap() });
 }
 
-/** Carries out a fetch, from the table or, with its document damaged or not, from a peer. */
+/** Completes a fetch from the table or a peer; `damaged-peer` returns a wrong document. */
 export function fetch(
   world: ConfigWorld,
   index: number,
@@ -183,7 +191,7 @@
 ): void {
   const daemon = daemonAt(world, index);
   const mark = pick(daemon.fetches, which);
-  if (daemon.cut || !mark) return;
+  if (daemon.isPartitioned || !mark) return;
   daemon.fetches.splice(daemon.fetches.indexOf(mark), 1);
   if (from === 'table') {
     const document = documentOf(world, mark.version);
@@ -191,11 +199,12 @@
     return;
   }
   const peer = daemonAt(world, index + 1);
-  if (peer.cut || peer.state.document === undefined) return;
+  if (peer.isPartitioned || peer.state.document === undefined) return;
   const document = from === 'peer' ? peer.state.document : { templates: {} };
   dispatch(world, index, { kind: 'document', mark: peer.state.mark, document, from: 'peer' });
 }
 
+/** Restarts a daemon: it loses its state, its fetches and its submissions. */
 export function restart(world: ConfigWorld, index: number): void {
   const daemon = daemonAt(world, index);
   daemon.state = NOTHING_IN_FORCE;
@@ -205,15 +214,17 @@
   }
 }
 
-export function setPartitioned(world: ConfigWorld, index: number, cut: boolean): void {
-  daemonAt(world, index).cut = cut;
+/** Partitions a daemon from the table and its peers, or ends the partition. */
+export function setPartitioned(world: ConfigWorld, index: number, isPartitioned: boolean): void {
+  daemonAt(world, index).isPartitioned = isPartitioned;
 }
 
-export function pass(world: ConfigWorld, ms: number): void {
+/** Advances the clock. */
+export function advanceClock(world: ConfigWorld, ms: number): void {
   world.now = later(world.now, ms);
 }
 
-/** What must hold after every step. */
+/** Checks the invariants; called after every step. */
 export function checkInvariants(world: ConfigWorld): void {
   const ids = world.history.map(({ changeId }) => changeId);
   check(new Set(ids).size === ids.length, `a change took effect twice: ${ids.join()}`);
@@ -222,35 +233,38 @@
     if (version === 0) continue;
     check(
       world.history[version - 1]?.hash === hash,
-      `version ${version} in force is not the accepted one`,
+      `version ${version} in force is not the version that the table accepted`,
     );
   }
   for (const { by, answer } of world.answers) checkAnswer(world, by, answer);
 }
 
-/** Ends all faults; then every daemon must come to the head. */
+/** Ends all faults and checks that every daemon then reaches the head. */
 export function checkConvergence(world: ConfigWorld): void {
   while (world.late.length > 0) applyLate(world, 0);
   checkInvariants(world);
   world.daemons.forEach((daemon, i) => {
-    daemon.cut = false;
+    daemon.isPartitioned = false;
     poll(world, i);
     while (daemon.fetches.length > 0) fetch(world, i, 0, 'table');
-    check(daemon.state.mark.version === world.history.length, `daemon ${i} is not on the head`);
+    check(daemon.state.mark.version === world.history.length, `daemon ${i} did not reach the head`);
   });
 }
 
 function checkAnswer(world: ConfigWorld, by: Submission, answer: SubmitAnswer): void {
   if (answer.kind === 'accepted') {
     const hash = world.history[answer.version - 1]?.hash;
-    check(hash === hashDocument(by.change.document), 'accepted, but another document holds');
+    check(
+      hash === hashDocument(by.change.document),
+      'accepted, but the version has a different document',
+    );
     return;
   }
-  // Of a table that it did not reach, a submission can only say what it did itself.
-  const says = SAYS_NOTHING_OF_OTHERS.includes(answer.code) ? by : by.change.changeId;
-  const took = world.history.some((one) => one.by === says || one.changeId === says);
-  const unknown = answer.code === 'store-unknown';
-  check(unknown || !took, `${answer.code} was answered to a change that took effect`);
+  // Without an answer of the table, a submission knows only whether its own write took effect.
+  const subject = OWN_OUTCOME_ONLY.includes(answer.code) ? by : by.change.changeId;
+  const tookEffect = world.history.some((one) => one.by === subject || one.changeId === subject);
+  const isUnknown = answer.code === 'store-unknown';
+  check(isUnknown || !tookEffect, `${answer.code} was answered to a change that took effect`);
 }
 
 function start(world: ConfigWorld, daemon: number, change: Change): void {
@@ -275,7 +289,7 @@
   const { answer } = submission.effect;
   submission.effect = undefined;
   world.answers.push({ by: submission, answer });
-  if (answer.kind === 'accepted') takeEffect(world, submission, answer.version);
+  if (answer.kind === 'accepted') announceAccepted(world, submission, answer.version);
 }
 
 function outcomeOf(
@@ -285,7 +299,7 @@
   fault: Fault,
 ): SubmitEvent {
   if (effect.kind === 'wait') {
-    pass(world, effect.ms);
+    advanceClock(world, effect.ms);
     return { kind: 'waited' };
   }
   if (effect.kind === 'read') {
@@ -325,21 +339,21 @@
   for (const { key, value } of writes) {
     if (value === undefined) world.rows.delete(key);
     else world.rows.set(key, { key, version: world.counter, value });
-    if (key === HEAD_KEY && value !== undefined) noteHead(world, { key, version: 0, value }, by);
+    if (key === HEAD_KEY && value !== undefined) recordHead(world, { key, version: 0, value }, by);
   }
   return true;
 }
 
-function noteHead(world: ConfigWorld, row: Row, by: Submission): void {
+function recordHead(world: ConfigWorld, row: Row, by: Submission): void {
   const { version, changeId, hash } = parseHead(row)._unsafeUnwrap();
   check(
     version === world.history.length + 1,
-    `the head went from ${world.history.length} to ${version}`,
+    `the head skipped from version ${world.history.length} to ${version}`,
   );
   world.history.push({ changeId, hash, by });
 }
 
-function takeEffect(
+function announceAccepted(
   world: ConfigWorld,
   { daemon, change }: Submission,
   version: ConfigVersion,
@@ -363,7 +377,7 @@
   const before = daemon.state.mark.version;
   const step = reduceInForce(daemon.state, event, { now: world.now });
   daemon.state = step.state;
-  check(step.state.mark.version >= before, `daemon ${index} fell back from version ${before}`);
+  check(step.state.mark.version >= before, `daemon ${index} went back from version ${before}`);
   for (const effect of step.effects) if (effect.kind === 'fetch') daemon.fetches.push(effect.mark);
 }
 
@@ -374,7 +388,7 @@
 
 function daemonAt(world: ConfigWorld, index: number): Daemon {
   const daemon = world.daemons[index % DAEMONS];
-  if (!daemon) throw new RangeError(`no daemon ${index}`);
+  if (!daemon) throw new RangeError(`daemon ${index} does not exist`);
   return daemon;
 }
 
--- a/tests/fuzz/config.ts
+++ b/tests/fuzz/config.ts
@@ -1,4 +1,4 @@
-/** Stateful fuzzing of configuration against the oracle in `config-world.ts`. */
+/** Model-based fuzzing of configuration against the oracle in `config-world.ts`. */
 
 import fc from 'fast-check';
 
@@ -11,7 +11,7 @@
   createWorld,
   deliver,
   fetch,
-  pass,
+  advanceClock,
   poll,
   restart,
   setPartitioned,
@@ -81,13 +81,13 @@
     }),
   ),
   fc.tuple(index, share).map(([i, n]) =>
-    command(`change(${i}, ${n})`, (world) => {
+    command(`amend(${i}, ${n})`, (world) => {
       amend(world, i, n);
     }),
   ),
-  fc.tuple(index, fc.boolean()).map(([i, cut]) =>
-    command(`cut(${i}, ${cut})`, (world) => {
-      setPartitioned(world, i, cut);
+  fc.tuple(index, fc.boolean()).map(([i, isPartitioned]) =>
+    command(`partition(${i}, ${isPartitioned})`, (world) => {
+      setPartitioned(world, i, isPartitioned);
     }),
   ),
   index.map((i) =>
@@ -96,7 +96,7 @@
     }),
   ),
   index.map((i) =>
-    command(`arriveLate(${i})`, (world) => {
+    command(`applyLate(${i})`, (world) => {
       applyLate(world, i);
     }),
   ),
@@ -106,13 +106,13 @@
     }),
   ),
   index.map((i) =>
-    command(`pass(${i * 300})`, (world) => {
-      pass(world, i * 300);
+    command(`advanceClock(${i * 300})`, (world) => {
+      advanceClock(world, i * 300);
     }),
   ),
 ];
 
-/** Throws with the seed and the shrunk list of steps if anything the oracle forbids happens. */
+/** Throws with the seed and the shrunk sequence of steps if the oracle finds a violation. */
 export function fuzzConfig({ seed, runs }: FuzzOptions): void {
   const history = fc.commands(commands, { maxCommands: MAX_COMMANDS, size: 'max' });
   const property = fc.property(history, (steps) => {
