--- a/src/core/report/groups.ts
+++ b/src/core/report/groups.ts
@@ -1,12 +1,12 @@
-/** How long groups were missing, and which step took that time. */
+/** Measures how long a model had no group, and which step of forming the next one took the time. */
 
 import { quantile } from '../explain/quantile';
 import { groupBy, textField } from './events';
 import type { LogEvent } from './events';
 import type { ModelSummary } from './types';
 
-/** One group as the daemons saw it; instants are undefined where the logs do not hold them. */
-interface GroupLife {
+/** Lifetime of one group; instants are `undefined` if they are not in the logs. */
+interface GroupLifetime {
   readonly model: string;
   readonly formingAt: number | undefined;
   readonly servesAt: number | undefined;
@@ -17,8 +17,8 @@
   return events.find((event) => event.message === message)?.at;
 }
 
-/** Groups serve from the first daemon that sees it, and no more from the first that sees that. */
-function livesOf(events: readonly LogEvent[]): GroupLife[] {
+/** A group starts and stops serving when the first daemon logs it. */
+function lifetimesOf(events: readonly LogEvent[]): GroupLifetime[] {
   const byGroup = groupBy(
     events.filter((event) => textField(event, 'group') !== ''),
     (event) => textField(event, 'group'),
@@ -31,49 +31,50 @@
   }));
 }
 
-/** Time between the first group and the end in which none served. */
-function unservedMs(lives: readonly GroupLife[], lastsMs: number): number {
-  const spans = lives
+/** Milliseconds without a serving group, from the first group's start to the report's end. */
+function unservedMs(lifetimes: readonly GroupLifetime[], lastsMs: number): number {
+  const spans = lifetimes
     .flatMap(({ servesAt, endsAt = lastsMs }) =>
       servesAt === undefined ? [] : [[servesAt, endsAt] as const],
     )
     .sort(([a], [b]) => a - b);
-  let missing = 0;
+  let unserved = 0;
   let coveredTo = spans[0]?.[0] ?? lastsMs;
   for (const [from, to] of spans) {
-    missing += Math.max(0, from - coveredTo);
+    unserved += Math.max(0, from - coveredTo);
     coveredTo = Math.max(coveredTo, to);
   }
-  return missing + Math.max(0, lastsMs - coveredTo);
+  return unserved + Math.max(0, lastsMs - coveredTo);
 }
 
-/** For each loss, the time until the next group of the model was ordered. */
-function undecided(lives: readonly GroupLife[]): number[] {
-  const orders = lives.flatMap(({ formingAt }) => formingAt ?? []).sort((a, b) => a - b);
-  return lives.flatMap(({ endsAt }) => {
+/** For each lost group, the time until the next group of the model was ordered, milliseconds. */
+function undecidedMs(lifetimes: readonly GroupLifetime[]): number[] {
+  const orders = lifetimes.flatMap(({ formingAt }) => formingAt ?? []).sort((a, b) => a - b);
+  return lifetimes.flatMap(({ endsAt }) => {
     if (endsAt === undefined) return [];
     const next = orders.find((at) => at >= endsAt);
     return next === undefined ? [] : [next - endsAt];
   });
 }
 
+/** One summary for each model that had a serving group. */
 export function summarizeModels(events: readonly LogEvent[], lastsMs: number): ModelSummary[] {
   const byModel = groupBy(
-    livesOf(events).filter(({ model, servesAt }) => model !== '' && servesAt !== undefined),
+    lifetimesOf(events).filter(({ model, servesAt }) => model !== '' && servesAt !== undefined),
     ({ model }) => model,
   );
-  return [...byModel].map(([model, lives]) => {
-    const forming = lives.flatMap(({ formingAt, servesAt }) =>
+  return [...byModel].map(([model, lifetimes]) => {
+    const forming = lifetimes.flatMap(({ formingAt, servesAt }) =>
       formingAt === undefined || servesAt === undefined ? [] : [servesAt - formingAt],
     );
     return {
       model,
       formed: forming.length,
-      lost: lives.filter(({ endsAt }) => endsAt !== undefined).length,
+      lost: lifetimes.filter(({ endsAt }) => endsAt !== undefined).length,
       medianFormingMs: quantile(forming, 0.5),
       longestFormingMs: Math.max(0, ...forming),
-      medianUndecidedMs: quantile(undecided(lives), 0.5),
-      unservedMs: unservedMs(lives, lastsMs),
+      medianUndecidedMs: quantile(undecidedMs(lifetimes), 0.5),
+      unservedMs: unservedMs(lifetimes, lastsMs),
     };
   });
 }
--- a/src/core/report/report.ts
+++ b/src/core/report/report.ts
@@ -1,6 +1,6 @@
 /**
- * What the logs of all daemons tell of a stretch of time: who was served, who was not and why, which
- * groups were missing for how long, when the store was away, and how fast configurations came into force.
+ * Summarises the logs of all daemons: which requests were served, which were not and why, how long
+ * models had no group, when the store was unavailable, and how fast configurations came into force.
  */
 
 import type { LogLine } from '../explain/log-line';
@@ -36,12 +36,12 @@
   );
 }
 
-/** The first era that a process sees is no return. */
+/** Eras of the store after a return; the first era that a process sees (`before` 0) is not one. */
 function summarizeReturns(events: readonly LogEvent[]): StoreReturn[] {
-  const seen = events.filter(
+  const returns = events.filter(
     (event) => event.message === 'era of the store' && numberField(event, 'before') !== 0,
   );
-  return [...groupBy(seen, (event) => textField(event, 'era'))].map(([era, own]) => {
+  return [...groupBy(returns, (event) => textField(event, 'era'))].map(([era, own]) => {
     const times = own.map(({ at }) => at);
     const at = Math.min(...times);
     return { era: Number(era), at, spreadMs: Math.max(...times) - at, daemons: own.length };
@@ -51,7 +51,7 @@
 function summarizeVersions(events: readonly LogEvent[]): VersionSummary[] {
   const inForce = events.filter(({ message }) => message === 'configuration in force');
   return [...groupBy(inForce, (event) => textField(event, 'version'))].map(([version, own]) => {
-    // A process that started again learns versions that are long in force.
+    // Only each daemon's first line: a restarted process logs versions that were in force before.
     const first = new Map<string, number>();
     for (const { daemon, at } of own) if (!first.has(daemon)) first.set(daemon, at);
     const times = [...first.values()];
@@ -65,6 +65,7 @@
   });
 }
 
+/** Builds the report of these lines, in any order. */
 export function createReport(lines: readonly LogLine[]): Report {
   const { startedAt, events } = createTimeline(lines);
   const lastsMs = events.at(-1)?.at ?? 0;
--- a/src/core/report/requests.ts
+++ b/src/core/report/requests.ts
@@ -1,4 +1,4 @@
-/** What became of requests, by kind, reason and second. */
+/** Counts the outcomes of requests by name, reason and second. */
 
 import { quantile } from '../explain/quantile';
 import { groupBy, numberField, textField } from './events';
@@ -7,11 +7,12 @@
 
 const MS_PER_S = 1_000;
 
-/** Ends of requests that had a route, and refusals of those that had none. */
-const ENDS: ReadonlySet<string> = new Set(['request ended', 'request refused']);
+/** `request ended` is logged for requests with a route, `request refused` for those without one. */
+const END_MESSAGES: ReadonlySet<string> = new Set(['request ended', 'request refused']);
 
+/** Whether the event is the end of a request. */
 export function isRequestEnd({ message }: LogEvent): boolean {
-  return ENDS.has(message);
+  return END_MESSAGES.has(message);
 }
 
 function outcomeOf(end: LogEvent): string {
@@ -25,7 +26,7 @@
   return textField(end, 'model') || textField(end, 'route') || 'no route';
 }
 
-/** Served streams whose first event came after their objective. */
+/** Whether a stream's first event came after its latency objective. */
 function isLate(end: LogEvent): boolean {
   const [first, target] = [numberField(end, 'firstEventMs'), numberField(end, 'targetMs')];
   return first !== undefined && target !== undefined && first > target;
@@ -35,6 +36,7 @@
   return numberField(end, 'waitedMs') ?? 0;
 }
 
+/** One summary for each model or route, the most frequent first. */
 export function summarizeRequests(ends: readonly LogEvent[]): RequestSummary[] {
   return [...groupBy(ends, nameOf)]
     .map(([name, own]) => {
@@ -56,10 +58,10 @@
     .sort((a, b) => b.ended - a.ended);
 }
 
-/** The commonest first. */
+/** Requests that were not served by outcome and reason, the most frequent first. */
 export function summarizeReasons(ends: readonly LogEvent[]): ReasonSummary[] {
-  const lost = ends.filter((end) => outcomeOf(end) !== 'served');
-  return [...groupBy(lost, (end) => `${outcomeOf(end)}\0${textField(end, 'reason')}`)]
+  const failed = ends.filter((end) => outcomeOf(end) !== 'served');
+  return [...groupBy(failed, (end) => `${outcomeOf(end)}\0${textField(end, 'reason')}`)]
     .map(([key, own]) => {
       const [outcome = '', reason = ''] = key.split('\0');
       return {
@@ -73,6 +75,7 @@
     .sort((a, b) => b.count - a.count);
 }
 
+/** Outcomes in each second that has any. */
 export function countBySecond(ends: readonly LogEvent[]): OutcomeSecond[] {
   const bySecond = groupBy(ends, ({ at }) => String(Math.floor(at / MS_PER_S)));
   return [...bySecond]
--- a/src/core/report/types.ts
+++ b/src/core/report/types.ts
@@ -1,21 +1,23 @@
-/** What a report says of a stretch of time. Instants are milliseconds since its start, on one clock. */
+/** The report type. Instants are milliseconds since the report's start, on one clock. */
 
-/** Requests of one kind: those of a model, or of a route that names none. */
+/** Requests of one model, or of one route without a model. */
 export interface RequestSummary {
   readonly name: string;
   readonly ended: number;
   readonly served: number;
-  /** Time from arrival to the end of served requests, milliseconds. */
+  /** Latency of served requests from arrival to end, milliseconds. */
   readonly medianMs: number;
   readonly p99Ms: number;
-  /** Served ones whose first event came after their latency objective. */
+  /** Served requests whose first event came after their latency objective. */
   readonly late: number;
-  /** Of the late ones: time until they had a place, and from there to the first event, milliseconds. */
+  /**
+   * Of the late ones: time until they had a slot, and from there to the first event, milliseconds.
+   */
   readonly medianLateWaitMs: number;
   readonly medianLateFirstMs: number;
 }
 
-/** Requests that were not served, by what was said to the caller and why. */
+/** Requests that were not served, by the outcome that the caller got and the reason. */
 export interface ReasonSummary {
   readonly outcome: string;
   readonly reason: string;
@@ -24,68 +26,69 @@
   readonly lastAt: number;
 }
 
-/** What ended in one second, by outcome. */
+/** Requests that ended in one second, by outcome. */
 export interface OutcomeSecond {
   readonly at: number;
   readonly outcomes: Readonly<Record<string, number>>;
 }
 
-/** How long groups of one model took to serve, and what was missing without them. */
+/** How long groups of one model took to form, and how long the model had none. */
 export interface ModelSummary {
   readonly model: string;
   readonly formed: number;
   readonly lost: number;
-  /** From the order to join to the first stream that may come, milliseconds. */
+  /** From the order to join until the group serves, milliseconds. */
   readonly medianFormingMs: number;
   readonly longestFormingMs: number;
-  /** From the loss of a group to the decision for the next one, milliseconds. */
+  /** From the loss of a group to the order for the next one, milliseconds. */
   readonly medianUndecidedMs: number;
-  /** Time without any group, milliseconds. */
+  /** Time without a serving group, milliseconds. */
   readonly unservedMs: number;
 }
 
-/** Places of a model and the requests in them or without one, as the leader knew them. */
+/** Slots of a model, and the requests that have or wait for one, as known to the leader. */
 export interface WorkSample {
   readonly at: number;
   readonly model: string;
   readonly groups: number;
   readonly places: number;
   readonly running: number;
-  /** Requests beyond the places of their group: they wait in its engine. */
+  /** Requests beyond the slots of their group, which wait in its engine. */
   readonly queued: number;
   readonly free: number;
   /** Requests that wait in daemons. */
   readonly waiting: number;
 }
 
-/** A time in which the store answered one daemon nothing about a collection. */
+/** A time in which a collection of the store was unavailable to one daemon. */
 export interface Outage {
   readonly daemon: string;
   readonly collection: string;
   readonly at: number;
-  /** Undefined where the logs end before the store's return. */
+  /** Duration; `undefined` if the logs do not show its end. */
   readonly ms: number | undefined;
 }
 
-/** How daemons learned that the store came back from an older copy. */
+/** A return of the store from an older copy. */
 export interface StoreReturn {
   readonly era: number;
   /** When the first daemon saw the era. */
   readonly at: number;
-  /** From the first daemon to the last one that saw it, milliseconds. */
+  /** Time between the first and the last daemon that saw the era, milliseconds. */
   readonly spreadMs: number;
   readonly daemons: number;
 }
 
-/** How a version of the configuration came into force. */
+/** A version of the configuration coming into force. */
 export interface VersionSummary {
   readonly version: number;
   readonly at: number;
-  /** From the first daemon to the last one that had it in force, milliseconds. */
+  /** Time between the first and the last daemon that had it in force, milliseconds. */
   readonly spreadMs: number;
   readonly daemons: number;
 }
 
+/** Summary of the logs of all daemons; printed as JSON by `report`. */
 export interface Report {
   /** Start, milliseconds since the epoch. */
   readonly startedAt: number;
--- a/src/core/report/work.ts
+++ b/src/core/report/work.ts
@@ -1,9 +1,10 @@
-/** Places and waiting requests by second, as the leader logged them. */
+/** Slots and waiting requests of each model over time, from the leader's log. */
 
 import { numberField, textField } from './events';
 import type { LogEvent } from './events';
 import type { WorkSample } from './types';
 
+/** One sample for each `work of a model` line. */
 export function listWork(events: readonly LogEvent[]): WorkSample[] {
   return events
     .filter(({ message }) => message === 'work of a model')
--- a/tests/report.test.ts
+++ b/tests/report.test.ts
@@ -1,3 +1,5 @@
+/** `report`: summarises the logs of several daemons, as JSON, text and SVG. */
+
 import { mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -11,7 +13,7 @@
 import type { Report } from '../src/core/report/types';
 
 const START = Date.parse('2026-01-01T00:00:00.000Z');
-/** The clock of daemon b is this far ahead. */
+/** How far the clock of daemon b is ahead. */
 const AHEAD_MS = 5_000;
 
 function line(seconds: number, daemon: string, message: string, fields: object): string {
@@ -65,16 +67,16 @@
 describe('a report of the logs of several daemons', () => {
   const report = reportOf(LOG);
 
-  it('spans them all by one clock', () => {
+  it('orders all logs on one clock', () => {
     expect(report).toMatchObject({ daemons: ['a', 'b'], startedAt: START, lastsMs: 20_000 });
     expect(report.leaders).toEqual([{ daemon: 'b', at: 15_000 }]);
   });
 
-  it('tells when the store came back from an older copy, and how long until all daemons knew', () => {
+  it('shows when the store returned from an older copy, and how long until all daemons saw it', () => {
     expect(report.returns).toEqual([{ era: 2, at: 7_000, spreadMs: 250, daemons: 2 }]);
   });
 
-  it('tells how many requests were in places, waited for one, and waited in engines', () => {
+  it('shows how many requests ran in slots, waited for one, or queued in engines', () => {
     expect(report.work).toEqual([
       {
         ...{ at: 3_600, model: 'large', groups: 1, places: 18 },
@@ -83,7 +85,7 @@
     ]);
   });
 
-  it('tells who was served, how fast, and why the others were not', () => {
+  it('shows how many requests were served, how fast, and why the others were not', () => {
     expect(report.requests).toEqual([
       {
         ...{ name: 'large', ended: 5, served: 3, medianMs: 200, p99Ms: 300 },
@@ -107,7 +109,7 @@
     expect(report.seconds.find(({ at }) => at === 10_000)?.outcomes).toEqual({ refused: 2 });
   });
 
-  it('tells how long a model had no group, and which step took the time', () => {
+  it('shows how long a model had no group, and which step took the time', () => {
     expect(report.models).toEqual([
       {
         model: 'large',
@@ -121,19 +123,19 @@
     ]);
   });
 
-  it('tells when the store was away, and where its return is not in the logs', () => {
+  it('shows when the store was unavailable, and outages whose end is not in the logs', () => {
     expect(report.outages).toEqual([
       { daemon: 'b', collection: 'op', at: 4_000, ms: 3_000 },
       { daemon: 'b', collection: 'servers', at: 4_000, ms: undefined },
     ]);
   });
 
-  it('tells how long a configuration took to be in force on all', () => {
+  it('shows how long a configuration took to be in force on all daemons', () => {
     expect(report.versions).toEqual([{ version: 4, at: 2_500, spreadMs: 1_250, daemons: 2 }]);
   });
 });
 
-describe('the command', () => {
+describe('the report command', () => {
   const dir = mkdtempSync(join(tmpdir(), 'nutmegstack-report-'));
   const log = join(dir, 'all.log');
   writeFileSync(log, ['not a line of a daemon', ...LOG].join('\n'));
@@ -144,7 +146,7 @@
   const run = (args: readonly string[], flags: CommandContext['flags'] = {}) =>
     reportCommand({ args, flags, env: {}, startDaemon: () => Promise.reject(new Error('unused')) });
 
-  it('prints tables and draws what became of requests', async () => {
+  it('prints tables and draws the outcomes of requests', async () => {
     const svg = join(dir, 'day.svg');
     const { exit, text } = await run([log], { svg });
     expect(exit).toBe(EXIT.done);
@@ -156,7 +158,7 @@
     for (const outcome of ['served', 'refused', 'denied']) expect(drawn).toContain(outcome);
   });
 
-  it('says what is wrong with logs that cannot be read or hold nothing', async () => {
+  it('reports logs that are unreadable or empty, and an SVG path that is not writable', async () => {
     expect((await run([join(dir, 'none.log')])).exit).toBe(EXIT.usage);
     const empty = join(dir, 'empty.log');
     writeFileSync(empty, 'nothing\n');
