--- a/src/core/explain/explain.ts
+++ b/src/core/explain/explain.ts
@@ -1,28 +1,29 @@
 /**
- * Finds in the logs of several daemons what happened to one request, and what the daemons believed and
- * did about the groups and servers that it met, in one order of time.
+ * Collects from the logs of several daemons what happened to one request, and what the daemons
+ * observed and decided about the groups and servers involved, ordered on one clock.
  */
 
 import { estimateClockOffsets } from './clocks';
 import type { LogLine } from './log-line';
 
-/** A line in the common order of time. */
+/** A log line on the common clock. */
 export interface ExplainedLine extends LogLine {
-  /** `at` by the clock of the daemon that ended the request. */
+  /** `at` converted to the clock of the daemon that logged the request's last line. */
   readonly commonAt: number;
-  /** Whether the line names the request itself. */
+  /** Whether the line is of the request itself. */
   readonly isOwn: boolean;
 }
 
+/** Options of {@link explain}. */
 export interface ExplainOptions {
-  /** Beliefs and decisions are shown from so long before the request on, milliseconds. */
+  /** How long before the request's start context lines are included, milliseconds. */
   readonly beforeMs?: number;
 }
 
-/** A group is replaced within a load of weights, and the store's outages last about as long. */
-const BEFORE_MS = 20_000;
-/** Lines without a request that are shown wherever they come from. */
-const OF_ALL: ReadonlySet<string> = new Set([
+/** Long enough for a group's replacement, which takes one load of weights, and for store outages. */
+const DEFAULT_BEFORE_MS = 20_000;
+/** Context lines that are included from every daemon. */
+const FROM_ANY_DAEMON: ReadonlySet<string> = new Set([
   'lease taken',
   'lease given up',
   'started',
@@ -30,8 +31,10 @@
   'stopped',
   'settings taken',
 ]);
-/** Lines that speak of the daemon's own dependencies: shown for daemons that handled the request. */
-const OF_ONE: ReadonlySet<string> = new Set([
+/**
+ * Context lines about a daemon's own dependencies; included from daemons that handled the request.
+ */
+const FROM_HANDLING_DAEMON: ReadonlySet<string> = new Set([
   'store lost',
   'store regained',
   'servers taken from a peer',
@@ -41,12 +44,12 @@
   'retry budget spent',
   'log lines left out',
 ]);
-/** Fields that tie lines together. */
-const LINKS = ['group', 'server', 'head', 'model'] as const;
+/** Fields that relate a context line to the request. */
+const RELATING_FIELDS = ['group', 'server', 'head', 'model'] as const;
 
-/** Reads a line; undefined where it is none of a daemon's. */
+/** Parses a line; `undefined` if no daemon wrote it. */
 export function parseLogLine(text: string): LogLine | undefined {
-  // Log collectors put a prefix before the line.
+  // Log collectors add a prefix to the line.
   const start = text.indexOf('{');
   if (start < 0) return undefined;
   try {
@@ -73,25 +76,28 @@
   return valuesOf(line, ['members', 'lost']).flatMap((list) => list.split(' '));
 }
 
-/** Servers and groups that the request met, and the groups whose heads these servers are. */
+/**
+ * Servers and groups that handled the request, and the groups headed by these servers. If none did,
+ * the groups of its model.
+ */
 function collectSubjects(own: readonly LogLine[], all: readonly LogLine[]): ReadonlySet<string> {
   const subjects = new Set(own.flatMap((line) => valuesOf(line, ['server', 'group', 'head'])));
-  const isServed = subjects.size > 0;
-  const models = new Set(isServed ? [] : own.flatMap((line) => valuesOf(line, ['model'])));
+  const hasSubjects = subjects.size > 0;
+  const models = new Set(hasSubjects ? [] : own.flatMap((line) => valuesOf(line, ['model'])));
   for (const line of all) {
     const { head, group, model } = line.fields;
-    const isMet = typeof head === 'string' && subjects.has(head);
+    const isHeadedBySubject = typeof head === 'string' && subjects.has(head);
     const isOfModel = typeof model === 'string' && models.has(model);
-    if ((isMet || isOfModel) && typeof group === 'string') subjects.add(group);
+    if ((isHeadedBySubject || isOfModel) && typeof group === 'string') subjects.add(group);
   }
   return subjects;
 }
 
-/** The request's own lines and those of what it rested on, in order. */
+/** The request's own lines and its context, in time order; empty if no line names the request. */
 export function explain(
   lines: readonly LogLine[],
   requestId: string,
-  { beforeMs = BEFORE_MS }: ExplainOptions = {},
+  { beforeMs = DEFAULT_BEFORE_MS }: ExplainOptions = {},
 ): readonly ExplainedLine[] {
   const own = lines.filter(({ fields }) => fields.requestId === requestId);
   const last = own.at(-1);
@@ -100,14 +106,14 @@
   const commonAt = (line: LogLine): number => line.at - (offsets.get(line.daemon) ?? 0);
   const handled = new Set(own.map(({ daemon }) => daemon));
   const subjects = collectSubjects(own, lines);
-  const took = typeof last.fields.ms === 'number' ? last.fields.ms : 0;
+  const durationMs = typeof last.fields.ms === 'number' ? last.fields.ms : 0;
   const until = Math.max(...own.map(commonAt));
-  const from = until - took - beforeMs;
+  const from = until - durationMs - beforeMs;
   const isShown = (line: LogLine): boolean => {
     if (line.fields.requestId !== undefined) return false;
-    if (OF_ALL.has(line.message)) return true;
-    if (OF_ONE.has(line.message)) return handled.has(line.daemon);
-    const named = [...valuesOf(line, LINKS), ...serversIn(line)];
+    if (FROM_ANY_DAEMON.has(line.message)) return true;
+    if (FROM_HANDLING_DAEMON.has(line.message)) return handled.has(line.daemon);
+    const named = [...valuesOf(line, RELATING_FIELDS), ...serversIn(line)];
     return named.some((name) => subjects.has(name));
   };
   const context = lines.filter((line) => {
--- a/src/core/explain/log-line.ts
+++ b/src/core/explain/log-line.ts
@@ -1,4 +1,4 @@
-/** What reports and explanations are made from. */
+/** The log line, input of reports and explanations. */
 
 /** One line of a daemon's log. */
 export interface LogLine {
--- a/tests/explain.test.ts
+++ b/tests/explain.test.ts
@@ -1,3 +1,5 @@
+/** `explain`: collects the log lines of one request and their context from several daemons. */
+
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -10,7 +12,7 @@
 import type { LogLine } from '../src/core/explain/log-line';
 
 const START = Date.parse('2026-01-01T00:00:00.000Z');
-/** The clock of daemon b is this far ahead. */
+/** How far the clock of daemon b is ahead. */
 const AHEAD_MS = 5_000;
 
 function line(seconds: number, daemon: string, message: string, fields: object): string {
@@ -44,7 +46,7 @@
 }
 
 describe('the explanation of a request', () => {
-  it('gathers its lines and those of what it met, by one clock', () => {
+  it('has its lines and those of the groups and servers involved, on one clock', () => {
     const found = explain(read(LOG), 'r1');
     expect(found.map(({ message, daemon }) => `${daemon} ${message}`)).toEqual([
       'a group serves',
@@ -58,7 +60,7 @@
     expect(Math.abs((asked?.commonAt ?? 0) - (START + 10_000))).toBeLessThanOrEqual(2);
   });
 
-  it('shows the groups of its model where it was sent to none', () => {
+  it('shows the groups of its model if it was sent to none', () => {
     const refused = line(10.2, 'a', 'request ended', {
       requestId: 'r3',
       outcome: 'refused',
@@ -80,16 +82,16 @@
     '{"message":"without a time"}',
     '{"at":"never","message":"x"}',
     '{"at":',
-  ])('passes over what is no line of a daemon: %j', (text) => {
+  ])('skips a line that no daemon wrote: %j', (text) => {
     expect(parseLogLine(text)).toBeUndefined();
   });
 
-  it('reads lines behind the prefix of a collector', () => {
+  it('parses lines with the prefix of a log collector', () => {
     expect(parseLogLine(`  12.3 front-1 ${LOG[0]}`)).toMatchObject({ daemon: 'a' });
   });
 });
 
-describe('the command', () => {
+describe('the explain command', () => {
   const dir = mkdtempSync(join(tmpdir(), 'nutmegstack-explain-'));
   const files = ['a', 'b'].map((daemon) => {
     const path = join(dir, daemon);
@@ -108,7 +110,7 @@
       startDaemon: () => Promise.reject(new Error('not to be started')),
     });
 
-  it('prints one line each, the own ones marked, in seconds before the end', async () => {
+  it('prints one line per log line, marks own ones, and shows seconds before the end', async () => {
     const { exit, text = '' } = await run(['r1', ...files]);
     expect(exit).toBe(EXIT.done);
     const lines = text.split('\n');
@@ -116,12 +118,12 @@
     expect(lines.at(-1)).toMatch(/^> +0\.000 s {2}a {2}request ended {2}outcome=torn server=s1/);
   });
 
-  it('shows less on request', async () => {
+  it('shows a shorter context with --before', async () => {
     const { text = '' } = await run(['r1', ...files], { before: '1' });
     expect(text.split('\n')).toHaveLength(3);
   });
 
-  it('says what is wrong', async () => {
+  it('reports usage errors, unreadable logs and unknown requests', async () => {
     expect((await run([])).exit).toBe(EXIT.usage);
     expect((await run(['r1', join(dir, 'none')])).exit).toBe(EXIT.usage);
     expect((await run(['r1', ...files], { before: 'long' })).exit).toBe(EXIT.usage);
