--- a/src/core/admission/admission.ts
+++ b/src/core/admission/admission.ts
@@ -62,10 +62,7 @@
   return { state, verdict, admitted: [], refused };
 }
 
-/**
- * Frees the slot or the queue entry of a request that ended, was cancelled or was aborted. An
- * unknown id is ignored.
- */
+/** Frees the slot or queue entry of a request that ended or was cancelled; ignores unknown ids. */
 export function release(state: AdmissionState, id: RequestId, ctx: RandomContext): QueueUpdate {
   const entry = state.entries.get(id);
   if (entry === undefined) return { state, admitted: [], refused: [] };
@@ -167,8 +164,7 @@
     return refuse(exceeded, serviceMs(pool, req.estimateMs), state.opts, ctx);
   }
   if (pool.running < pool.slots) {
-    // The queue is empty while a slot is free, so even a request that may be late displaces no
-    // other.
+    // The queue is empty while a slot is free, so even a request that may be late delays no other.
     track(state, entry, policy, ctx.now);
     takeSlot(pool, entry, ctx.now, state.opts);
     return { kind: 'admitted' };
--- a/src/core/admission/estimate.ts
+++ b/src/core/admission/estimate.ts
@@ -49,10 +49,7 @@
   return Math.max(byShare, all - others);
 }
 
-/**
- * Work of the account that goes ahead of all others because it used less than its share,
- * milliseconds.
- */
+/** Work that an account below its share may do ahead of all others, milliseconds. */
 function creditMs(pool: Pool, account: Account, opts: AdmissionOptions): number {
   return Math.max(0, pool.virtualTime - startTag(pool, account, opts)) * account.share;
 }
--- a/src/core/admission/refusal.ts
+++ b/src/core/admission/refusal.ts
@@ -15,10 +15,7 @@
   displaced: 'overloaded',
 };
 
-/**
- * Refuses with a retry time of at least `afterMs` from now, jittered so that callers do not retry
- * together.
- */
+/** Refuses with a retry time `afterMs` from now or later, jittered to keep callers apart. */
 export function refuse(
   reason: RefusalReason,
   afterMs: number,
--- a/src/core/admission/shedding.ts
+++ b/src/core/admission/shedding.ts
@@ -47,10 +47,7 @@
   return ownTail !== undefined && ownTail.bucket > entry.bucket ? ownTail : undefined;
 }
 
-/**
- * Refuses the account's least dense requests that can no longer meet their deadline now that
- * `added` is queued.
- */
+/** Refuses the account's least dense requests that will miss their deadline behind `added`. */
 export function shedUnreachable(
   state: AdmissionState,
   added: Entry,
--- a/src/core/admission/types.ts
+++ b/src/core/admission/types.ts
@@ -30,10 +30,7 @@
   readonly retryJitter: number;
   /** Time until a retry for a model without capacity, if none is expected, milliseconds. */
   readonly noCapacityRetryMs: number;
-  /**
-   * How late expected capacity may be before the requests that wait for it are refused,
-   * milliseconds.
-   */
+  /** How late expected capacity may be before requests waiting for it are refused, milliseconds. */
   readonly expectedGraceMs: number;
 }
 
--- a/src/core/config/rows.ts
+++ b/src/core/config/rows.ts
@@ -4,8 +4,7 @@
  * - `config/head` {version, changeId, hash}: the version in force. Every write to the other rows is
  *   conditional on it.
  * - `config/recent`: the latest change ids, for submitters whose answer was lost.
- * - `config/v/{version}` {document, ...}: each version. The oldest is deleted when a new one is
- *   added.
+ * - `config/v/{version}` {document, ...}: each version; a new one replaces the oldest.
  */
 
 import { err, ok } from 'neverthrow';
@@ -18,20 +17,14 @@
 import { canonicalText } from '../json';
 import type { Json } from '../json';
 
-/**
- * Increased when rows change their meaning. A daemon that reads a newer schema keeps its
- * configuration.
- */
+/** Incremented when rows change their meaning; a daemon that reads a newer one keeps its config. */
 export const ROW_SCHEMA = 1;
 export const HEAD_KEY = 'config/head';
 export const RECENT_KEY = 'config/recent';
 export const VERSION_PREFIX = 'config/v/';
 /** Number of versions kept in the table. */
 export const MAX_VERSIONS = 200;
-/**
- * Number of change ids kept. An older change is refused by its `ifVersion`, so it is never
- * reapplied.
- */
+/** Number of change ids kept; an older change is refused by its `ifVersion`, never reapplied. */
 export const MAX_RECENT_CHANGES = 200;
 
 const VERSION_DIGITS = 12;
--- a/src/core/config/submit.ts
+++ b/src/core/config/submit.ts
@@ -116,10 +116,7 @@
 
 type SubmitStep = Step<SubmitState, SubmitEffect>;
 
-/**
- * Starts a submission. Carry out its effects and feed the results to `reduceSubmit` until it
- * answers.
- */
+/** Starts a submission; carry out its effects and feed the results to `reduceSubmit`. */
 export function startSubmit(change: Change, deadline: MonoTime): SubmitStep {
   const state: SubmitState = { change, deadline, phase: 'reading', tries: 0, maybeWritten: false };
   return next(state, readEffect(change));
@@ -287,8 +284,7 @@
 }
 
 function afterFailedCommit(state: SubmitState, code: ErrorCode, now: MonoTime): SubmitStep {
-  // Another change was committed first, or an earlier try of this one took effect; the rows show
-  // which.
+  // Another change was committed first, or an earlier try of this one was; the rows show which.
   if (code === 'conflict') return retryOrGiveUp(state, now);
   const maybeWritten = state.maybeWritten || !NOTHING_WRITTEN.includes(code);
   return retryOrGiveUp({ ...state, maybeWritten }, now);
--- a/src/core/explain/explain.ts
+++ b/src/core/explain/explain.ts
@@ -20,7 +20,7 @@
   readonly beforeMs?: number;
 }
 
-/** Long enough for a group's replacement, which takes one load of weights, and for store outages. */
+/** Covers a group's replacement, which takes one load of weights, and a typical store outage. */
 const DEFAULT_BEFORE_MS = 20_000;
 /** Context lines that are included from every daemon. */
 const FROM_ANY_DAEMON: ReadonlySet<string> = new Set([
--- a/src/core/routing/types.ts
+++ b/src/core/routing/types.ts
@@ -137,10 +137,7 @@
 export interface AttemptState {
   readonly group: GroupId;
   readonly sentAt: MonoTime;
-  /**
-   * Whether a slot in the batch was estimated to be free, so that the latency has no queueing in
-   * it.
-   */
+  /** Whether a slot in the batch was estimated to be free, so that no queueing is measured. */
   readonly hadFreeSlot: boolean;
   readonly streams: boolean;
   firstTokenAt: MonoTime | undefined;
--- a/tests/config-submit.test.ts
+++ b/tests/config-submit.test.ts
@@ -1,7 +1,4 @@
-/**
- * Submission of configuration changes: versions, repeats, table failures and an organisation's
- * scope.
- */
+/** Submitting configuration changes: versions, repeats, table faults, an organisation's scope. */
 
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 
