--- a/src/core/config/document.ts
+++ b/src/core/config/document.ts
@@ -100,7 +100,7 @@
   keys: z.array(key).default([]),
 });
 
-/** A document that matches the schema, with defaults filled in. */
+/** A validated document, with defaults filled in. */
 export type ResolvedDocument = z.output<typeof documentSchema>;
 export type TemplateSource = ResolvedDocument['templates'][string];
 export type OrganisationSource = ResolvedDocument['organisations'][string];
--- a/src/core/config/resolve.ts
+++ b/src/core/config/resolve.ts
@@ -90,7 +90,7 @@
   return { id: brandAs<ServiceId>(id), ...source };
 }
 
-/** The configuration that a validated document describes. */
+/** The configuration that a validated document describes, as this version. */
 export function resolve(doc: ResolvedDocument, version: ConfigVersion): Config {
   const organisations = Object.keys(doc.organisations).flatMap((id) =>
     resolveOrganisation(doc, id),
--- a/src/core/retry/decide.ts
+++ b/src/core/retry/decide.ts
@@ -77,9 +77,9 @@
   | { readonly kind: 'stop'; readonly why: 'not-allowed' | 'attempts' | 'deadline' | 'budget' };
 
 /** Exponential backoff, milliseconds; half of it is random, so that retries do not synchronise. */
-export function retryDelayMs(attempts: number, delays: RetryDelays, chance: number): number {
+export function retryDelayMs(attempts: number, delays: RetryDelays, random: number): number {
   const backoffMs = Math.min(delays.maxMs, delays.firstMs * 2 ** (attempts - 1));
-  return backoffMs * (0.5 + chance / 2);
+  return backoffMs * (0.5 + random / 2);
 }
 
 function isAllowed(rule: RetryRule, facts: RetryFacts): boolean {
--- a/tests/fuzz/config-world.ts
+++ b/tests/fuzz/config-world.ts
@@ -144,8 +144,8 @@
 
 /** Carries out the next effect of a submission, with this fault of the table. */
 export function advance(world: ConfigWorld, index: number, fault: Fault): void {
-  const open = world.submissions.filter(({ effect }) => effect !== undefined);
-  const submission = pick(open, index);
+  const inProgress = world.submissions.filter(({ effect }) => effect !== undefined);
+  const submission = pick(inProgress, index);
   if (submission) carryOut(world, submission, fault);
 }
 
@@ -157,9 +157,7 @@
   apply(world, late.transaction, late.by);
 }
 
-/**
- * Delivers a push; `again` leaves it in flight for another delivery, `damaged` corrupts its delta.
- */
+/** Delivers a push; `again` leaves it in flight to arrive twice, `damaged` corrupts its delta. */
 export function deliver(
   world: ConfigWorld,
   index: number,
