--- a/src/core/config/check.ts
+++ b/src/core/config/check.ts
@@ -116,11 +116,18 @@
     }
     const errors: FieldError[] = [];
     if ((override.worth ?? 0) > (limits.worth ?? Infinity)) {
-      errors.push(fieldError([...at, 'worth'], `template allows at most ${limits.worth ?? ''}`));
+      errors.push(
+        fieldError(
+          [...at, 'worth'],
+          `template ${org.template} allows at most ${limits.worth ?? ''}`,
+        ),
+      );
     }
     if ((override.maxInFlight ?? 0) > (limits.maxInFlight ?? Infinity)) {
       const max = limits.maxInFlight ?? '';
-      errors.push(fieldError([...at, 'maxInFlight'], `template allows at most ${max}`));
+      errors.push(
+        fieldError([...at, 'maxInFlight'], `template ${org.template} allows at most ${max}`),
+      );
     }
     return errors;
   });
@@ -145,7 +152,10 @@
   ];
   if (org.share > (template.limits.share ?? Infinity)) {
     errors.push(
-      fieldError([...path, 'share'], `template allows at most ${template.limits.share ?? ''}`),
+      fieldError(
+        [...path, 'share'],
+        `template ${org.template} allows at most ${template.limits.share ?? ''}`,
+      ),
     );
   }
   return errors;
--- a/src/core/config/submit.ts
+++ b/src/core/config/submit.ts
@@ -128,7 +128,12 @@
   'read-failed': (state, _, { now }) => retryOrGiveUp(state, now),
   committed: (state) => {
     const { candidate } = state;
-    if (!candidate) return refuse(state, 'internal', 'committed without a candidate');
+    if (!candidate)
+      return refuse(
+        state,
+        'internal',
+        `change ${state.change.changeId} was committed without a candidate`,
+      );
     return answer(state, { kind: 'accepted', ...candidate });
   },
   'commit-failed': (state, event, { now }) => afterFailedCommit(state, event.code, now),
@@ -299,10 +304,9 @@
     return refuse(
       state,
       'store-unavailable',
-      'the table service did not commit the change before the deadline; this submission changed nothing',
+      `the table service did not commit change ${state.change.changeId} before the deadline; this submission changed nothing`,
     );
   }
-  const message =
-    'the change may have taken effect; submit it again with the same change id to get the outcome';
+  const message = `change ${state.change.changeId} may have taken effect; submit it again with the same change id to get the outcome`;
   return refuse(state, 'store-unknown', message);
 }
