--- a/src/app/daemon.ts
+++ b/src/app/daemon.ts
@@ -1,4 +1,4 @@
-/** One daemon: puts the parts together, starts them in order and stops them in the reverse. */
+/** Composition root of a daemon: creates its parts and starts them; `shutdown.ts` stops them. */
 
 import { createEngine } from '../adapters/engine';
 import { createInstanceList } from '../adapters/platform/instances';
@@ -39,18 +39,24 @@
   };
 }
 
-/** The list is a hint, so a daemon serves without its entry and says so. */
-async function enterList(
+/**
+ * Registers the daemon in the instance list. The list is only a hint for discovery, so a failure is
+ * logged and the daemon still serves.
+ */
+async function registerInstance(
   instances: InstanceRegistry,
   entry: InstanceEntry,
   logger: Logger,
 ): Promise<void> {
   const entered = await instances.enter(entry);
   if (entered.isOk()) return;
-  logger.warn('not entered into the instance list', { step: 'start', code: entered.error.code });
+  logger.warn('could not register in the instance list', {
+    step: 'start',
+    code: entered.error.code,
+  });
 }
 
-/** Starts a daemon; resolves once it listens. */
+/** Starts a daemon. Resolves once it accepts connections. */
 export async function startDaemon(settings: DaemonSettings): Promise<RunningDaemon> {
   const self = settings.id;
   const clock = createClock();
@@ -107,11 +113,11 @@
   });
   const parts: Parts = { config, membership, control, requests };
 
-  const listening: HttpListener[] = [];
-  const stop = createShutdown({
+  const listeners: HttpListener[] = [];
+  const shutdown = createShutdown({
     settings,
     parts,
-    listeners: listening,
+    listeners,
     logger,
     deregister: () => instances.leave(brandAs<InstanceId>(self)),
     flushTraces: () => tracer.close(),
@@ -122,37 +128,37 @@
   await requests.start();
   const entry = createEntry({
     requests: requests.handler,
-    isReady: () => !stop.isStopping(),
+    isReady: () => !shutdown.isStopping(),
   });
   const bootstrap =
     settings.bootstrapKeyHash === undefined ? {} : { bootstrapKeyHash: settings.bootstrapKeyHash };
   const admin = createAdmin({
     ...parts,
     logger,
-    drain: stop.drain,
+    drain: shutdown.drain,
     ...bootstrap,
   });
   const { maxHeaderBytes, maxConnections } = settings;
-  const callers = await listen({
+  const callerListener = await listen({
     address: settings.listen,
     handler: entry,
     maxHeaderBytes,
     maxConnections,
   });
-  const operators = await listen({
+  const adminListener = await listen({
     address: settings.adminListen,
     handler: withMetrics({ config, metrics, ...bootstrap }, admin),
   });
-  listening.push(callers, operators);
-  await enterList(instances, ownEntry(settings, 'live'), logger);
+  listeners.push(callerListener, adminListener);
+  await registerInstance(instances, ownEntry(settings, 'live'), logger);
   logger.info('started', { step: 'start' });
   return {
     addresses: {
-      callers: callers.address,
-      admin: operators.address,
+      callers: callerListener.address,
+      admin: adminListener.address,
       peers: settings.peerListen,
     },
-    drain: stop.drain,
-    stopped: stop.stopped,
+    drain: shutdown.drain,
+    stopped: shutdown.stopped,
   };
 }
--- a/src/app/entry.ts
+++ b/src/app/entry.ts
@@ -1,12 +1,13 @@
-/** The callers' address: health and readiness beside the request plane. */
+/** HTTP handler of the callers' address: health and readiness probes, and the request plane. */
 
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
 import type { HttpHandler } from './parts';
 
+/** Options of {@link createEntry}. */
 export interface EntryOptions {
   readonly requests: HttpHandler;
-  /** Whether this daemon takes new work. */
+  /** Whether this daemon accepts new requests. */
   readonly isReady: () => boolean;
 }
 
@@ -17,7 +18,7 @@
   res.end(text);
 }
 
-/** Answers probes of the balancer and hands everything else to the request plane. */
+/** Creates a handler that answers the load balancer's probes and delegates all other requests. */
 export function createEntry(opts: EntryOptions): HttpHandler {
   const probes: Readonly<Record<string, Probe>> = {
     '/healthz': (_req, res) => {
--- a/src/app/listen.ts
+++ b/src/app/listen.ts
@@ -1,4 +1,4 @@
-/** HTTP servers of a daemon: limits, listening, and an orderly close. */
+/** HTTP servers of a daemon: limits, listening and graceful close. */
 
 import { createServer } from 'node:http';
 import type { Server } from 'node:http';
@@ -8,20 +8,22 @@
 import { fail } from '../utils/errors';
 import type { HttpHandler } from './parts';
 
+/** Options of {@link listen}. */
 export interface ListenOptions {
-  /** `host:port`; port 0 takes a free one. */
+  /** `host:port`; port 0 selects a free port. */
   readonly address: string;
   readonly handler: HttpHandler;
   readonly maxHeaderBytes?: number;
   readonly maxConnections?: number;
 }
 
-/** A server that listens. */
+/** A listening HTTP server. */
 export interface HttpListener {
+  /** The bound `host:port`. */
   readonly address: string;
-  /** Takes no new connection; resolves once those open have ended. */
+  /** Accepts no new connections. Resolves once the open ones have ended. */
   close(): Promise<void>;
-  /** Destroys the connections still open. */
+  /** Destroys the connections that are still open. */
   destroyConnections(): void;
 }
 
@@ -34,13 +36,13 @@
   return family === 'IPv6' ? `[${address}]:${port}` : `${address}:${port}`;
 }
 
-/** Starts a server. */
+/** Starts an HTTP server. Rejects with `unavailable` if the address cannot be bound. */
 export function listen(opts: ListenOptions): Promise<HttpListener> {
   const server = createServer(
     {
       maxHeaderSize: opts.maxHeaderBytes ?? DEFAULT_MAX_HEADER_BYTES,
       headersTimeout: HEADERS_TIMEOUT_MS,
-      // A body may take as long as its request's deadline, which the pipeline watches.
+      // No limit here: a body may take until its request's deadline, which the request plane enforces.
       requestTimeout: 0,
       noDelay: true,
     },
@@ -50,7 +52,13 @@
   const { host, port } = parseAddress(opts.address);
   return new Promise((resolve, reject) => {
     server.once('error', (cause) => {
-      reject(fail('unavailable', 'cannot listen', { step: 'listen', peer: opts.address, cause }));
+      reject(
+        fail('unavailable', 'cannot listen on the address', {
+          step: 'listen',
+          peer: opts.address,
+          cause,
+        }),
+      );
     });
     server.listen(port, host, () => {
       resolve({
--- a/src/app/parts.ts
+++ b/src/app/parts.ts
@@ -1,4 +1,4 @@
-/** What the parts of a daemon offer each other. `daemon.ts` puts them together. */
+/** Interfaces between the parts of a daemon. `daemon.ts` composes them. */
 
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { ResultAsync } from 'neverthrow';
@@ -19,10 +19,10 @@
 import type { Json } from '../ports/platform';
 import type { StepError } from '../utils/errors';
 
-/** A part with work of its own. */
+/** A part of the daemon with its own lifecycle. */
 export interface Part {
   start(): Promise<void>;
-  /** Hands back what it holds, then stops; resolves when done. */
+  /** Releases what the part holds (leases, claims), then stops it. */
   stop(): Promise<void>;
 }
 
@@ -33,29 +33,32 @@
   readonly changes: Observable<Config>;
 }
 
-/** A whole configuration source, as an operator submits it. */
+/** A complete configuration document, as an operator submits it. */
 export interface ConfigChange {
-  /** Chosen by the submitter; the same id again is the same change. */
+  /** Idempotency key chosen by the submitter: the same id denotes the same change. */
   readonly changeId: string;
-  /** Version that the operator amended; left out: whatever is in force. */
+  /** Version that the change is based on; if omitted, the version in force. */
   readonly ifVersion?: ConfigVersion;
   /** The document, parsed from YAML or JSON. */
   readonly document: Json;
-  /** The operator's organisation, where it may change only its own parameters. */
+  /** Organisation of an operator who may change only that organisation's parameters. */
   readonly organisation?: string;
 }
 
+/** An accepted configuration document with its version. */
 export interface AcceptedConfig {
   readonly version: ConfigVersion;
   readonly document: Json;
 }
 
+/** Configuration: the view, and operators' access to versions. */
 export interface ConfigPart extends Part, ConfigView {
   submit(change: ConfigChange): ResultAsync<AcceptedConfig, StepError>;
   read(version?: ConfigVersion): ResultAsync<AcceptedConfig, StepError>;
   versions(): ResultAsync<readonly ConfigVersion[], StepError>;
 }
 
+/** A daemon as membership knows it. */
 export interface PeerInfo {
   readonly id: DaemonId;
   readonly address: string;
@@ -64,86 +67,100 @@
   readonly configVersion: ConfigVersion;
 }
 
+/** The daemons of the system as this one sees them. */
 export interface MembershipView {
   readonly self: DaemonId;
-  /** This daemon and the peers believed alive, by id. */
+  /** This daemon and the peers believed alive, sorted by id. */
   peers(): readonly PeerInfo[];
   readonly changes: Observable<readonly PeerInfo[]>;
 }
 
-/** A fact that one daemon tells all; a newer version of a key replaces the older. */
+/** A key-value entry that a daemon disseminates; a newer version of a key replaces older ones. */
 export interface GossipEntry {
   readonly topic: string;
   readonly key: string;
   readonly origin: DaemonId;
   readonly version: number;
   readonly value: Json;
-  /** Forgotten after this. */
+  /** Dropped after this time. */
   readonly expiresAt: EpochTime;
 }
 
+/** Dissemination of entries to all daemons. */
 export interface Gossip {
   publish(topic: string, key: string, value: Json, expiresAt: EpochTime): void;
-  /** Entries from peers, each version of each key once. */
+  /** Emits entries from peers, each version of a key once. */
   readonly received: Observable<GossipEntry>;
-  /** All live entries of a topic, own ones included. */
+  /** All live entries of a topic, including this daemon's own. */
   entries(topic: string): readonly GossipEntry[];
 }
 
-/** A message from one daemon to another alone. */
+/** A message from one daemon to one other. */
 export interface DirectMessage {
   readonly from: DaemonId;
   readonly topic: string;
   readonly value: Json;
 }
 
-/** Messages between two daemons: at most once, lost when there is no link. */
+/** Messages between two daemons: delivered at most once, and lost if there is no link. */
 export interface DirectMessaging {
-  /** False when the message was dropped at once. */
+  /** Returns false if the message was dropped immediately. */
   send(to: DaemonId, topic: string, value: Json): boolean;
   readonly received: Observable<DirectMessage>;
 }
 
+/** Membership, with the gossip and direct messages that run over its links. */
 export interface MembershipPart extends Part, MembershipView {
   readonly gossip: Gossip;
   readonly direct: DirectMessaging;
-  /** Tells all that this daemon is leaving, so that its roles move at once; `stop` does it as well. */
+  /** Announces that this daemon is leaving, so that its roles move at once. `stop` also does this. */
   leave(): void;
 }
 
-/** What the request plane saw of a group. */
+/** A failure of a group that the request plane observed. */
 export interface GroupEvidence {
   readonly group: GroupId;
   readonly epoch: Epoch;
-  /** `lost`: torn or not reached; `wrong-group`: the engine serves another group or epoch. */
+  /**
+   * `lost`: the connection broke or could not be made; `wrong-group`: the engine serves another
+   * group or epoch.
+   */
   readonly kind: 'lost' | 'wrong-group' | 'refused';
   readonly step: string;
 }
 
-/** Where model requests may go. */
+/** The groups that model requests may be sent to. */
 export interface GroupView {
-  /** Groups whose members' observations are all fresh at this instant. */
+  /** The model's groups for which the observations of all members are fresh now. */
   routable(model: ModelId): readonly RoutableGroup[];
-  /** Earliest instant at which a group of the model is expected, if known. */
+  /** Earliest time at which a group of the model is expected, if known. */
   expectedAt(model: ModelId): EpochTime | undefined;
+  /** Reports an observed failure. */
   report(evidence: GroupEvidence): void;
-  /** Emits a group as soon as it is no longer routable. */
+  /**
+   * Emits a group as soon as it is no longer routable. `domainDark` means that its whole failure
+   * domain was lost.
+   */
   readonly lost: Observable<{ readonly group: GroupId; readonly domainDark: boolean }>;
 }
 
+/** The control plane: forms groups and tells which are routable. */
 export interface ControlPart extends Part, GroupView {
-  /** Marks an instance as leaving, on an operator's word. */
+  /** Marks an instance as leaving, as requested by an operator. */
   drainInstance(instance: InstanceId): ResultAsync<void, StepError>;
-  /** For `status`: groups, leases, downtime and stranded totals; JSON. */
+  /** JSON for `status`: groups, leases, and totals of downtime and stranded accelerators. */
   status(): Json;
 }
 
+/** Handles one HTTP request. */
 export type HttpHandler = (req: IncomingMessage, res: ServerResponse) => void;
 
+/** The request plane. */
 export interface RequestPart extends Part {
   readonly handler: HttpHandler;
+  /** Number of requests in flight. */
   inFlight(): number;
-  /** Refuses new requests from now on; resolves when none is in flight. */
+  /** Refuses new requests from now on. Resolves when none is in flight. */
   drain(): Promise<void>;
 }
 
--- a/src/app/requests/admission-gate.ts
+++ b/src/app/requests/admission-gate.ts
@@ -1,4 +1,4 @@
-/** Lets calls in by the decisions of `core/admission`, and has them wait or sends them away. */
+/** Admits, queues or refuses calls. The decisions are made in `core/admission`. */
 
 import {
   admit,
@@ -21,51 +21,54 @@
 import { fail } from '../../utils/errors';
 import type { Call } from './exchange';
 
-/** What a call asks for. */
+/** An admission request for one call. */
 export interface GateRequest {
   readonly call: Call;
-  /** Model or service; they share one name space here. */
+  /** Model or service; both share one namespace. */
   readonly target: ModelId;
-  /** Expected time in a slot, milliseconds. */
+  /** Expected time that the call occupies a slot, milliseconds. */
   readonly estimateMs: number;
-  /** The target's capacity at this instant; asked again while the call waits. */
+  /** Returns the target's current capacity. Polled while the call is queued. */
   readonly capacity: () => Capacity;
 }
 
-/** What this daemon may have in flight towards one target. */
+/** How many calls this daemon may have in flight to one target. */
 export interface Capacity {
   readonly slots: number;
-  /** When there is capacity again, if there is none. */
+  /** When capacity is expected to return, if there is none now. */
   readonly expectedAt: EpochTime | undefined;
 }
 
+/** Outcome of an admission request. `retryAt` becomes the `Retry-After` header. */
 export type GateVerdict =
   | { readonly kind: 'admitted' }
   | { readonly kind: 'refused'; readonly error: StepError; readonly retryAt: EpochTime };
 
+/** Admission control of this daemon. */
 export interface AdmissionGate {
-  /** Resolves at once unless the call has to wait for a slot. */
+  /** Resolves immediately unless the call is queued for a slot. */
   enter(req: GateRequest): Promise<GateVerdict>;
-  /** To be called when an admitted call is over; gives its slot to the next. */
+  /** Releases the slot of an admitted call. Must be called once the call has ended. */
   leave(id: RequestId): void;
 }
 
 const MESSAGES: Readonly<Record<RefusalCode, string>> = {
   'too-many-requests': 'too many requests in flight',
-  overloaded: 'no room for the request',
-  'deadline-exceeded': 'the deadline cannot be met',
+  overloaded: 'no free capacity for the request',
+  'deadline-exceeded': 'the request cannot complete before its deadline',
 };
 
-/** How often the capacity that waiting calls need is looked at. */
-const LOOK_MS = 25;
+/** Interval at which the capacity of targets with queued calls is polled, milliseconds. */
+const CAPACITY_POLL_MS = 25;
 
+/** Creates the admission gate of a daemon. */
 export function createAdmissionGate(clock: Clock, random: Random): AdmissionGate {
   const state = createAdmission();
   const waiting = new Map<RequestId, (verdict: GateVerdict) => void>();
-  /** Targets that some call may wait for. */
-  const wanted = new Map<ModelId, () => Capacity>();
-  let timer: NodeJS.Timeout | undefined;
-  let looking: NodeJS.Timeout | undefined;
+  /** Capacity of each target that may have queued calls. */
+  const capacitySources = new Map<ModelId, () => Capacity>();
+  let expiryTimer: NodeJS.Timeout | undefined;
+  let pollTimer: NodeJS.Timeout | undefined;
 
   const context = () => ({ now: clock.now(), random });
   const toEpoch = (at: MonoTime): EpochTime => later(clock.epoch(), at - clock.now());
@@ -82,11 +85,11 @@
     resolve?.(verdict);
   };
 
-  const arm = (): void => {
-    clearTimeout(timer);
+  const armExpiryTimer = (): void => {
+    clearTimeout(expiryTimer);
     const at = nextExpiry(state);
     if (at === undefined) return;
-    timer = setTimeout(
+    expiryTimer = setTimeout(
       () => {
         apply(expire(state, context()));
       },
@@ -101,7 +104,7 @@
     refused.forEach(({ id, verdict }) => {
       settle(id, refusal(verdict));
     });
-    arm();
+    armExpiryTimer();
   };
 
   const update = (target: ModelId, { slots, expectedAt }: Capacity): void => {
@@ -114,38 +117,40 @@
     apply(release(state, id, context()));
   };
 
-  /** Capacity may come without a request that would tell of it. */
-  const look = (): void => {
-    looking = undefined;
-    for (const [target, capacity] of wanted) update(target, capacity());
-    if (waiting.size === 0) wanted.clear();
-    else lookSoon();
+  /** Updates capacity while calls are queued, since it can return without any new request. */
+  const pollCapacity = (): void => {
+    pollTimer = undefined;
+    for (const [target, capacity] of capacitySources) update(target, capacity());
+    if (waiting.size === 0) capacitySources.clear();
+    else schedulePoll();
   };
 
-  const lookSoon = (): void => {
-    looking ??= setTimeout(look, LOOK_MS).unref();
+  const schedulePoll = (): void => {
+    pollTimer ??= setTimeout(pollCapacity, CAPACITY_POLL_MS).unref();
   };
 
   const queue = ({ call, target, capacity }: GateRequest): Promise<GateVerdict> =>
     new Promise((resolve) => {
       const { id, gone } = call.exchange;
-      wanted.set(target, capacity);
-      lookSoon();
-      const onGone = (): void => {
-        const error = fail('cancelled', 'caller went away', { step: 'admission' });
+      capacitySources.set(target, capacity);
+      schedulePoll();
+      const onDisconnect = (): void => {
+        const error = fail('cancelled', 'the caller disconnected while queued', {
+          step: 'admission',
+        });
         settle(id, { kind: 'refused', error, retryAt: clock.epoch() });
         leave(id);
       };
-      gone.addEventListener('abort', onGone, { once: true });
+      gone.addEventListener('abort', onDisconnect, { once: true });
       waiting.set(id, (verdict) => {
-        gone.removeEventListener('abort', onGone);
+        gone.removeEventListener('abort', onDisconnect);
         resolve(verdict);
       });
     });
 
   return {
-    enter: (asked) => {
-      const { call, target, estimateMs, capacity } = asked;
+    enter: (gateReq) => {
+      const { call, target, estimateMs, capacity } = gateReq;
       update(target, capacity());
       const { organisation, class: callerClass } = call.caller;
       const req: AdmissionRequest = {
@@ -154,13 +159,13 @@
         class: callerClass,
         share: organisation.share,
         model: target,
-        deadline: call.terms.deadline,
+        deadline: call.options.deadline,
         estimateMs,
       };
       const { verdict, admitted, refused } = admit(state, req, context());
       const answer =
         verdict.kind === 'queued'
-          ? queue(asked)
+          ? queue(gateReq)
           : Promise.resolve(verdict.kind === 'refused' ? refusal(verdict) : verdict);
       apply({ admitted, refused });
       return answer;
--- a/src/app/requests/admit.ts
+++ b/src/app/requests/admit.ts
@@ -1,4 +1,4 @@
-/** The way of a call that is understood: admission, then the claim if it needs one, then sending. */
+/** Pipeline of a parsed call: admission, then the claim if one is needed, then sending. */
 
 import type { GuardedRun } from './at-most-once';
 import { runAtMostOnce } from './at-most-once';
@@ -13,24 +13,24 @@
 
 /** A call that is ready to be admitted. */
 export interface ReadyCall extends GateRequest {
-  /** Whether the backend server itself runs a key only once. */
+  /** Whether the backend server itself runs each idempotency key at most once. */
   readonly honoursKey: boolean;
   readonly run: GuardedRun;
 }
 
-/** A call that is not repeatable and has a key runs under a claim. */
+/** Runs the call under a claim if it is not repeatable and has an idempotency key. */
 function runOnceIfAsked(
   ctx: RequestContext,
   parts: RequestParts,
   call: Call,
   { honoursKey, run }: ReadyCall,
 ): Promise<Ending> {
-  const { repeatable, idempotencyKey } = call.terms;
+  const { repeatable, idempotencyKey } = call.options;
   if (repeatable || idempotencyKey === undefined) return run(NOOP_GUARD);
   return runAtMostOnce(ctx, parts.claims, call, idempotencyKey, run, { honoursKey });
 }
 
-/** Admits the call and runs it. A refusal is the ending, at once. */
+/** Admits the call and runs it. If admission refuses it, the refusal is returned as the ending. */
 export async function admitAndRun(
   ctx: RequestContext,
   parts: RequestParts,
--- a/src/app/requests/at-most-once.ts
+++ b/src/app/requests/at-most-once.ts
@@ -1,4 +1,7 @@
-/** Runs a call at most once by its idempotency key: the claim first, then the call, then the record. */
+/**
+ * At-most-once execution by idempotency key: acquires the claim, runs the call, then records the
+ * answer.
+ */
 
 import { later } from '../../core/ids';
 import type { EpochTime } from '../../core/ids';
@@ -18,7 +21,7 @@
 
 type NotHeld = Extract<ClaimVerdict, { kind: 'not-held' }>;
 
-/** Sends a call, guarded. */
+/** Sends a call; the guard is checked before each send. */
 export type GuardedRun = (guard: SendGuard) => Promise<Ending>;
 
 const NOT_HELD_CODES: Readonly<Record<NotHeld['reason'], ErrorCode>> = {
@@ -28,31 +31,34 @@
   overloaded: 'too-many-requests',
 };
 
-function comeBack(ctx: RequestContext): EpochTime {
+function defaultRetryAt(ctx: RequestContext): EpochTime {
   return later(ctx.clock.epoch(), ctx.settings.retryAfterMs);
 }
 
 function refuseNotHeld(ctx: RequestContext, { reason }: NotHeld): Ending {
-  const message = `the claim on the key could not be had: ${reason}`;
-  return refusedEnding(fail(NOT_HELD_CODES[reason], message, { step: 'claim' }), comeBack(ctx));
+  const message = `could not acquire the claim on the idempotency key: ${reason}`;
+  return refusedEnding(
+    fail(NOT_HELD_CODES[reason], message, { step: 'claim' }),
+    defaultRetryAt(ctx),
+  );
 }
 
 function keyReused(): Ending {
-  const message = 'the key was used for another request';
+  const message = 'the idempotency key was already used for a different request';
   return refusedEnding(fail('key-reused', message, { step: 'claim' }));
 }
 
-/** The key's request is under way, or its fate is not known: this one must not run. */
+/** The key's request is still running or its outcome is unknown, so this one must not run. */
 function inProgress(ctx: RequestContext, row: ClaimRow): Ending {
-  const isUnderWay = row.state === 'claimed' && ctx.clock.epoch() < row.deadlineAt;
-  const message = isUnderWay
-    ? 'the request with this key is under way'
-    : 'the request with this key was sent, and no answer is known';
+  const isRunning = row.state === 'claimed' && ctx.clock.epoch() < row.deadlineAt;
+  const message = isRunning
+    ? 'a request with this idempotency key is in progress'
+    : 'a request with this idempotency key was sent, but its answer is unknown';
   const error = fail('in-progress', message, { step: 'claim', peer: row.holder });
   return failedEnding({
     error,
     exposure: 'exposed',
-    retryAt: isUnderWay ? comeBack(ctx) : undefined,
+    retryAt: isRunning ? defaultRetryAt(ctx) : undefined,
   });
 }
 
@@ -62,7 +68,7 @@
   return Promise.resolve(inProgress(ctx, row));
 }
 
-/** Records how the call ended. An answer waits for its record, but not for long. */
+/** Records how the call ended. The answer is delayed until recorded, up to `recordTimeoutMs`. */
 async function record(ctx: RequestContext, claim: Claim, ending: Ending): Promise<void> {
   if (ending.kind === 'failed') {
     claim.abort();
@@ -80,12 +86,13 @@
   return ending;
 }
 
+/** Options of {@link runAtMostOnce}. */
 export interface AtMostOnceOptions {
-  /** The service itself runs a key only once, so that the call may go out without a claim. */
+  /** The service itself runs each key at most once, so the call may be sent without a claim. */
   readonly honoursKey: boolean;
 }
 
-/** Runs the call unless its key was used before; then gives what is known of that request. */
+/** Runs the call, or, if its key was used before, returns what is known of that request. */
 export async function runAtMostOnce(
   ctx: RequestContext,
   claims: Claims,
@@ -101,7 +108,8 @@
   if (verdict.kind === 'held') return runClaimed(ctx, verdict.claim, run);
   if (verdict.kind === 'not-held')
     return honoursKey ? run(NOOP_GUARD) : refuseNotHeld(ctx, verdict);
-  const isLost = verdict.row.state !== 'finished' && verdict.row.bodyHash === bodyHashOf(call);
-  if (honoursKey && isLost) return run(NOOP_GUARD);
+  const isUnresolved =
+    verdict.row.state !== 'finished' && verdict.row.bodyHash === bodyHashOf(call);
+  if (honoursKey && isUnresolved) return run(NOOP_GUARD);
   return answerExisting(ctx, call, verdict.row);
 }
--- a/src/app/requests/attempts.ts
+++ b/src/app/requests/attempts.ts
@@ -1,4 +1,4 @@
-/** The attempts of one submission, one after the other, until one gives an ending. */
+/** Retry loop: runs the attempts of a call one at a time until one succeeds or retries stop. */
 
 import type { AttemptId, MonoTime } from '../../core/ids';
 import { brandAs } from '../../core/ids';
@@ -15,23 +15,27 @@
 import { METRIC } from './names';
 import { pause } from './pause';
 
-/** An attempt that gave a whole answer. */
+/** An attempt that received a complete answer. */
 export interface AttemptDone {
   readonly kind: 'done';
   readonly ending: DoneEnding;
 }
 
-/** An attempt that did not. */
+/** An attempt that received no complete answer. */
 export interface AttemptFailed extends Failure {
   readonly kind: 'failed';
   readonly failure: AttemptFailure;
-  /** Whether the caller has got a part of the answer. */
+  /** Whether part of the answer has reached the caller. */
   readonly started: boolean;
 }
 
+/** Outcome of one attempt. */
 export type AttemptResult = AttemptDone | AttemptFailed;
 
-/** A failure of the attempt. What a caller that is gone or too late had sent stays exposed. */
+/**
+ * Creates a failed attempt, with the exposure that the failure implies. `given-up` is excluded: it
+ * is set after an abort, and keeps the exposure of what had been sent.
+ */
 export function attemptFailed(
   failure: Exclude<AttemptFailure, 'given-up'>,
   error: StepError,
@@ -40,17 +44,18 @@
   return { kind: 'failed', failure, error, exposure: EXPOSURE_BY_FAILURE[failure], started };
 }
 
-/** How one kind of call is sent. */
+/** How the attempts of a call are made; `T` is what one attempt is sent to. */
 export interface AttemptPlan<T> {
-  /** Model or service, for budgets and metrics. */
+  /** Model or service, for retry budgets and metrics. */
   readonly target: string;
   readonly repeatable: boolean;
   readonly guard: SendGuard;
-  /** The next place to send to, or why there is none. */
+  /** Selects the next destination, or states why there is none. `tried` holds the used keys. */
   readonly pick: (tried: ReadonlySet<string>) => Selection<T>;
-  readonly attempt: (place: T, id: AttemptId) => Promise<AttemptResult>;
+  readonly attempt: (destination: T, id: AttemptId) => Promise<AttemptResult>;
 }
 
+/** A selected destination with the key that marks it as tried, or the reason for none. */
 export type Selection<T> =
   | { readonly kind: 'place'; readonly key: string; readonly destination: T }
   | { readonly kind: 'none'; readonly failure: Failure };
@@ -66,7 +71,7 @@
   const { failure, started } = failed;
   const facts = { failure, started, attempts, maxAttempts, repeatable: plan.repeatable };
   return decideRetry(
-    { ...facts, deadline: call.terms.deadline },
+    { ...facts, deadline: call.options.deadline },
     { firstMs: retryDelayMs, maxMs: maxRetryDelayMs },
     {
       now: ctx.clock.now(),
@@ -76,7 +81,7 @@
   );
 }
 
-/** What is known of a submission between its attempts. */
+/** State of a call between its attempts. */
 interface Progress {
   readonly tried: ReadonlySet<string>;
   readonly attempts: number;
@@ -84,14 +89,14 @@
   readonly lastError: StepError | undefined;
 }
 
-const NOTHING_TRIED: Progress = {
+const NO_PROGRESS: Progress = {
   tried: new Set(),
   attempts: 0,
   exposure: 'none',
   lastError: undefined,
 };
 
-/** The failure of the whole submission: its last error, and the exposure of all attempts. */
+/** Builds the failure of the call: the given error with the combined exposure of all attempts. */
 function summarise(progress: Progress, failure: Failure): Ending {
   return failedEnding({
     error: failure.error,
@@ -113,18 +118,18 @@
   await pause(at - ctx.clock.now(), call.exchange.gone);
 }
 
-/** Runs attempts until one is done or no further one is allowed. */
+/** Runs attempts until one succeeds, a retry is not allowed, or no destination is left. */
 export async function runAttempts<T>(
   ctx: RequestContext,
   call: Call,
   plan: AttemptPlan<T>,
 ): Promise<Ending> {
   ctx.retryBudgets.deposit(plan.target);
-  let progress = NOTHING_TRIED;
+  let progress = NO_PROGRESS;
   for (;;) {
     const picked = plan.pick(progress.tried);
     if (picked.kind === 'none') {
-      // Where nothing is left to try, the last attempt says more than that.
+      // When every destination was tried, the last attempt's error is more useful than `no-group`.
       const isExhausted = picked.failure.error.code === 'no-group';
       const error = (isExhausted ? progress.lastError : undefined) ?? picked.failure.error;
       return summarise(progress, { ...picked.failure, error });
--- a/src/app/requests/backends.ts
+++ b/src/app/requests/backends.ts
@@ -1,22 +1,27 @@
-/** Backend servers of plain services: calls in flight on each, and which did not answer lately. */
+/** Least-loaded selection among a plain service's backend servers, avoiding unreachable ones. */
 
 import type { ServiceSpec } from '../../core/config/types';
 import type { MonoTime } from '../../core/ids';
 import { later } from '../../core/ids';
 import type { Clock, Random } from '../../ports/runtime';
 
-/** How long a backend server that could not be reached is passed over, milliseconds. */
+/** How long an unreachable backend server is avoided, milliseconds. */
 const AVOID_MS = 1_000;
 
+/** Calls in flight and reachability, by address of the backend server. */
 export interface Backends {
-  /** The backend server with fewest calls in flight; undefined if none has room. */
+  /**
+   * Returns the backend server with the fewest calls in flight, with ties broken at random. Avoids
+   * unreachable ones if possible. Undefined if all untried ones are at their limit.
+   */
   pick(spec: ServiceSpec, tried: ReadonlySet<string>): string | undefined;
-  /** Counts a call in flight; the function it gives ends it. */
+  /** Counts a call as in flight. The returned function ends it. */
   acquire(address: string): () => void;
-  /** Could not be reached just now. */
+  /** Marks the backend server as unreachable, so that it is avoided for a while. */
   markUnreachable(address: string): void;
 }
 
+/** Creates the tracker of backend servers. */
 export function createBackends(clock: Clock, random: Random): Backends {
   const inFlight = new Map<string, number>();
   const avoided = new Map<string, MonoTime>();
--- a/src/app/requests/body.ts
+++ b/src/app/requests/body.ts
@@ -1,4 +1,4 @@
-/** Reads bodies whole, up to a limit. */
+/** Reads complete message bodies up to a size limit. */
 
 import type { IncomingMessage } from 'node:http';
 import { ok, err } from 'neverthrow';
@@ -7,25 +7,26 @@
 import type { StepError } from '../../utils/errors';
 import { fail } from '../../utils/errors';
 
+/** Options of {@link readBody}. */
 export interface ReadOptions {
   readonly maxBytes: number;
-  /** For errors: what is being read, and from whom. */
+  /** Step and peer for errors: what is being read, and from whom. */
   readonly step: string;
   readonly peer?: string;
-  /** Ends the wait, as when a deadline has passed. */
+  /** Stops reading, as when a deadline has passed. */
   readonly signal?: AbortSignal;
 }
 
 /**
- * Errors: `body-too-large`; `backend-lost` if the sender broke off; `deadline-exceeded` if the
- * signal came first.
+ * Reads the body of a message. Errors: `body-too-large`; `backend-lost` if the connection broke;
+ * `deadline-exceeded` if the signal was aborted first.
  */
 export function readBody(
   from: IncomingMessage,
   { maxBytes, signal, ...origin }: ReadOptions,
 ): Promise<Result<Buffer, StepError>> {
   const tooLarge = (): Result<Buffer, StepError> =>
-    err(fail('body-too-large', `body is longer than ${maxBytes} bytes`, origin));
+    err(fail('body-too-large', `the body exceeds the limit of ${maxBytes} bytes`, origin));
   if (Number(from.headers['content-length'] ?? 0) > maxBytes) return Promise.resolve(tooLarge());
   const chunks: Buffer[] = [];
   let bytes = 0;
@@ -36,7 +37,7 @@
       resolve(result);
     };
     const onAbort = (): void => {
-      settle(err(fail('deadline-exceeded', 'body did not come in time', origin)));
+      settle(err(fail('deadline-exceeded', 'the body was not received in time', origin)));
     };
     signal?.addEventListener('abort', onAbort, { once: true });
     from.on('data', (chunk: Buffer) => {
@@ -51,7 +52,11 @@
     });
     const onLost = (cause?: unknown): void => {
       if (from.readableEnded) return;
-      settle(err(fail('backend-lost', 'connection lost in the body', { ...origin, cause })));
+      settle(
+        err(
+          fail('backend-lost', 'the connection broke while reading the body', { ...origin, cause }),
+        ),
+      );
     };
     from.once('error', onLost);
     from.once('close', onLost);
--- a/src/app/requests/buffered-answer.ts
+++ b/src/app/requests/buffered-answer.ts
@@ -1,7 +1,8 @@
-/** Checks an answer that is not streamed. */
+/** Validates answers that are not streamed. */
 
 import { isRecord } from '../../utils/is';
 
+/** Why a body is not a complete answer. */
 export type AnswerFault = 'not-json' | 'no-choices' | 'wrong-index' | 'no-finish-reason';
 
 function parse(body: Buffer): unknown {
@@ -17,7 +18,7 @@
   return typeof choice.finish_reason === 'string' ? undefined : 'no-finish-reason';
 }
 
-/** The first reason why `body` is not a whole answer of an OpenAI-style call. */
+/** Returns the first reason why `body` is not a complete answer to an OpenAI-style call. */
 export function checkBufferedAnswer(body: Buffer): AnswerFault | undefined {
   const answer = parse(body);
   if (!isRecord(answer)) return 'not-json';
--- a/src/app/requests/call-options.ts
+++ b/src/app/requests/call-options.ts
@@ -1,4 +1,4 @@
-/** Reads what a caller asks of the system by headers, and who the caller is. */
+/** Authenticates callers and parses the call options in their headers. */
 
 import type { IncomingHttpHeaders } from 'node:http';
 import { err, ok } from 'neverthrow';
@@ -15,69 +15,69 @@
 
 const BEARER = /^Bearer +(\S+) *$/i;
 const MAX_KEY_LENGTH = 255;
-const INSTANT = /^\d{1,15}$/;
-/** A deadline further away than this is brought nearer, milliseconds. */
-const LONGEST_DEADLINE_MS = 3_600_000;
+const EPOCH_MS = /^\d{1,15}$/;
+/** Later deadlines are reduced to this, milliseconds from now. */
+const MAX_DEADLINE_MS = 3_600_000;
 
-function lookUp<T>(table: Readonly<Record<string, T>>, key: string): T | undefined {
+function getOwn<T>(table: Readonly<Record<string, T>>, key: string): T | undefined {
   return Object.hasOwn(table, key) ? table[key] : undefined;
 }
 
 function unauthorized(): StepError {
-  return fail('unauthorized', 'no such key', { step: 'entry' });
+  return fail('unauthorized', 'missing or unknown API key', { step: 'entry' });
 }
 
-/** Errors: `unauthorized`, `forbidden` (not a caller's key). */
+/**
+ * Identifies the caller by its API key. Errors: `unauthorized`; `forbidden` if the key is not a
+ * caller's.
+ */
 export function authenticate(
   config: Config,
   authorization: string | undefined,
 ): Result<Caller, StepError> {
   const key = BEARER.exec(authorization ?? '')?.[1];
   if (key === undefined) return err(unauthorized());
-  const grant = lookUp(config.keys, hashKey(key));
+  const grant = getOwn(config.keys, hashKey(key));
   if (grant === undefined) return err(unauthorized());
-  const organisation = lookUp(config.organisations, grant.organisation ?? '');
-  const callerClass = organisation && lookUp(organisation.classes, grant.class ?? '');
+  const organisation = getOwn(config.organisations, grant.organisation ?? '');
+  const callerClass = organisation && getOwn(organisation.classes, grant.class ?? '');
   if (grant.role !== 'caller' || organisation === undefined || callerClass === undefined) {
-    return err(fail('forbidden', 'not a key of a caller', { step: 'entry' }));
+    return err(fail('forbidden', 'the API key does not have the caller role', { step: 'entry' }));
   }
   return ok({ organisation, class: callerClass });
 }
 
-function badHeader(name: string, wanted: string): StepError {
-  return fail('bad-request', `${name} must be ${wanted}`, { step: 'entry' });
+function badHeader(name: string, expected: string): StepError {
+  return fail('bad-request', `${name} must be ${expected}`, { step: 'entry' });
 }
 
 const REPEATABLE: Readonly<Record<string, boolean>> = { true: true, false: false };
 
-function readRepeatable(text: string | undefined, byDefault: boolean): Result<boolean, StepError> {
-  if (text === undefined) return ok(byDefault);
-  const value = lookUp(REPEATABLE, text.toLowerCase());
+function readRepeatable(text: string | undefined, fallback: boolean): Result<boolean, StepError> {
+  if (text === undefined) return ok(fallback);
+  const value = getOwn(REPEATABLE, text.toLowerCase());
   return value === undefined ? err(badHeader(HEADER.repeatable, 'true or false')) : ok(value);
 }
 
-function readDeadline(
-  text: string | undefined,
-  byDefault: EpochTime,
-): Result<EpochTime, StepError> {
-  if (text === undefined) return ok(byDefault);
-  if (!INSTANT.test(text)) return err(badHeader(HEADER.deadline, 'milliseconds since the epoch'));
+function readDeadline(text: string | undefined, fallback: EpochTime): Result<EpochTime, StepError> {
+  if (text === undefined) return ok(fallback);
+  if (!EPOCH_MS.test(text)) return err(badHeader(HEADER.deadline, 'milliseconds since the epoch'));
   return ok(brandAs<EpochTime>(Number(text)));
 }
 
 function readIdempotencyKey(text: string | undefined): Result<string | undefined, StepError> {
   if (text === undefined) return ok(undefined);
-  const fits = text.length > 0 && text.length <= MAX_KEY_LENGTH;
-  return fits ? ok(text) : err(badHeader(HEADER.idempotencyKey, 'of 1 to 255 characters'));
+  const isValid = text.length > 0 && text.length <= MAX_KEY_LENGTH;
+  return isValid ? ok(text) : err(badHeader(HEADER.idempotencyKey, '1 to 255 characters long'));
 }
 
-/** One value of a header; Node joins repeated ones. */
+/** The value of a header. Repeated headers that Node keeps apart are joined. */
 function single(headers: IncomingHttpHeaders, name: string): string | undefined {
   const value = headers[name];
   return Array.isArray(value) ? value.join(', ') : value;
 }
 
-/** What the defaults depend on. */
+/** Defaults for omitted headers, and the current time on both clocks. */
 export interface CallOptionDefaults {
   readonly repeatable: boolean;
   readonly deadlineMs: number;
@@ -85,23 +85,23 @@
   readonly epoch: EpochTime;
 }
 
-/** Errors: `bad-request`. */
+/** Parses the call options. Errors: `bad-request`, with the name of the invalid header. */
 export function readCallOptions(
   headers: IncomingHttpHeaders,
   defaults: CallOptionDefaults,
 ): Result<CallOptions, StepError> {
   const { now, epoch } = defaults;
-  const byDefault = later(epoch, defaults.deadlineMs);
-  const deadline = readDeadline(single(headers, HEADER.deadline), byDefault);
+  const defaultDeadline = later(epoch, defaults.deadlineMs);
+  const deadline = readDeadline(single(headers, HEADER.deadline), defaultDeadline);
   const repeatable = readRepeatable(single(headers, HEADER.repeatable), defaults.repeatable);
   const key = readIdempotencyKey(single(headers, HEADER.idempotencyKey));
   if (deadline.isErr()) return err(deadline.error);
   if (repeatable.isErr()) return err(repeatable.error);
   if (key.isErr()) return err(key.error);
-  const leftMs = Math.min(deadline.value - epoch, LONGEST_DEADLINE_MS);
+  const remainingMs = Math.min(deadline.value - epoch, MAX_DEADLINE_MS);
   return ok({
-    deadline: later(now, leftMs),
-    deadlineAt: later(epoch, leftMs),
+    deadline: later(now, remainingMs),
+    deadlineAt: later(epoch, remainingMs),
     repeatable: repeatable.value,
     idempotencyKey: key.value,
   });
--- a/src/app/requests/claim-rows.ts
+++ b/src/app/requests/claim-rows.ts
@@ -1,4 +1,4 @@
-/** Reads claim rows, which other versions of the program may have written. */
+/** Parses claim rows. Rows may have been written by other versions of the program. */
 
 import * as z from 'zod';
 
@@ -32,15 +32,18 @@
   z.object({ state: z.literal('finished'), answer, ...fields }),
 ]);
 
-/** Undefined if the row is not a claim that this version understands. */
+/** Parses a claim row. Returns undefined if this version does not understand it. */
 export function readClaimRow(row: Row): ClaimRow | undefined {
   const parsed = claimRow.safeParse(row.value);
-  // The schema gives plain strings and numbers where the type has brands.
+  // The schema yields plain strings and numbers where the type is branded.
   return parsed.success ? (parsed.data as unknown as ClaimRow) : undefined;
 }
 
-/** The row as it was read; `undefined` if it is there and not understood. */
-export function readSeenRow(row: Row | undefined): VersionedRow | undefined {
+/**
+ * Parses a claim row with its version; an absent row has version 0. Returns undefined if the row
+ * exists but is not understood.
+ */
+export function readVersionedRow(row: Row | undefined): VersionedRow | undefined {
   if (row === undefined) return { version: 0, row: undefined };
   const claim = readClaimRow(row);
   return claim === undefined ? undefined : { version: row.version, row: claim };
--- a/src/app/requests/claim-writer.ts
+++ b/src/app/requests/claim-writer.ts
@@ -1,7 +1,7 @@
 /**
- * Writes claim rows in groups: one transaction carries all that gathered while the one before was
- * under way. Each write goes by the version of its own row, and a conflict on one row fails that
- * write alone.
+ * Group commit for claim rows: one transaction carries all writes that were queued while the
+ * previous one was in progress. Each write is conditional on the version of its own row, so a
+ * conflict on one row fails only that write.
  */
 
 import type { Result } from 'neverthrow';
@@ -18,132 +18,141 @@
 import { METRIC } from './names';
 import { pause } from './pause';
 
-/** What became of one write. */
+/** Outcome of one write. */
 export type WriteResult =
   | { readonly kind: 'written'; readonly version: number }
   | { readonly kind: 'conflict' }
-  /** Nothing was written, nor will be. */
+  /** Nothing was written, and nothing will be. */
   | { readonly kind: 'unavailable' }
-  /** It may have taken effect, or may yet. */
+  /** The write may have taken effect or may still do so. */
   | { readonly kind: 'unanswered' };
 
+/** A conditional write of one row. */
 export interface RowWrite {
   readonly key: string;
-  /** Version that the row must have; 0: absent. */
+  /** Version that the row must have; 0 if it must be absent. */
   readonly version: number;
-  /** Left out: the row is deleted. */
+  /** The new value. If omitted, the row is deleted. */
   readonly value?: Json;
 }
 
+/** Options of {@link createClaimWriter}. */
 export interface ClaimWriterOptions {
   readonly table: Table;
   readonly clock: Clock;
   readonly metrics: Metrics;
-  /** Daemons that share the table's commits. */
+  /** Number of daemons that share the table's commit rate. */
   readonly daemons: () => number;
+  /** Commits per second that the table accepts from all daemons. */
   readonly commitsPerSecond: number;
+  /** Fraction of those commits that claims may use. */
   readonly claimShare: number;
+  /** Maximum number of writes in one transaction. */
   readonly maxBatch: number;
+  /** How long the first write waits for others to join its batch, milliseconds. */
   readonly lingerMs: number;
-  /** Longest wait in the queue, milliseconds. */
+  /** Maximum wait in the queue, milliseconds. */
   readonly queueTimeoutMs: number;
 }
 
+/** Writes claim rows within this daemon's share of the commit rate. */
 export interface ClaimWriter {
   write(write: RowWrite): Promise<WriteResult>;
-  /** Whether a write that came now would wait too long for its commit. */
+  /** Whether a new write would be expected to exceed the maximum wait in the queue. */
   isOverloaded(): boolean;
 }
 
-interface Queued {
+interface QueuedWrite {
   readonly write: RowWrite;
   readonly until: MonoTime;
   readonly settle: (result: WriteResult) => void;
 }
 
-/** Rounds of one group at most; each round loses at least one write to a conflict. */
+/** Maximum commits of one batch. Each conflict removes at least one write from the batch. */
 const MAX_ROUNDS = 4;
 const UNAVAILABLE: WriteResult = { kind: 'unavailable' };
 
-function transactionOf(group: readonly Queued[]): Transaction {
+function transactionOf(batch: readonly QueuedWrite[]): Transaction {
   return {
-    conditions: group.map(({ write: { key, version } }) => ({ key, version })),
-    writes: group.map(({ write: { key, value } }) =>
+    conditions: batch.map(({ write: { key, version } }) => ({ key, version })),
+    writes: batch.map(({ write: { key, value } }) =>
       value === undefined ? { key } : { key, value },
     ),
   };
 }
 
-function settleAll(group: readonly Queued[], result: WriteResult): void {
-  group.forEach(({ settle }) => {
+function settleAll(batch: readonly QueuedWrite[], result: WriteResult): void {
+  batch.forEach(({ settle }) => {
     settle(result);
   });
 }
 
-function settleCommitted(group: readonly Queued[], committed: Committed): void {
-  group.forEach(({ write, settle }) => {
+function settleCommitted(batch: readonly QueuedWrite[], committed: Committed): void {
+  batch.forEach(({ write, settle }) => {
     settle({ kind: 'written', version: committed.versions[write.key] ?? 0 });
   });
 }
 
-/** Settles the writes whose rows have other versions; gives the rest. */
-async function withoutConflicts(
+/** Settles the writes whose rows have another version as conflicts. Returns the others. */
+async function settleConflicts(
   table: Table,
-  group: readonly Queued[],
-): Promise<readonly Queued[]> {
-  const rows = await table.read(group.map(({ write }) => write.key));
+  batch: readonly QueuedWrite[],
+): Promise<readonly QueuedWrite[]> {
+  const rows = await table.read(batch.map(({ write }) => write.key));
   if (rows.isErr()) {
-    settleAll(group, UNAVAILABLE);
+    settleAll(batch, UNAVAILABLE);
     return [];
   }
   const versions = new Map(rows.value.map(({ key, version }) => [key, version]));
-  const fits = ({ write }: Queued): boolean => (versions.get(write.key) ?? 0) === write.version;
+  const hasExpectedVersion = ({ write }: QueuedWrite): boolean =>
+    (versions.get(write.key) ?? 0) === write.version;
   settleAll(
-    group.filter((queued) => !fits(queued)),
+    batch.filter((queued) => !hasExpectedVersion(queued)),
     { kind: 'conflict' },
   );
-  return group.filter(fits);
+  return batch.filter(hasExpectedVersion);
 }
 
+/** Creates a claim writer. It commits only while writes are queued. */
 export function createClaimWriter(opts: ClaimWriterOptions): ClaimWriter {
-  const { table, clock, metrics, maxBatch: batch } = opts;
-  let queue: Queued[] = [];
+  const { table, clock, metrics, maxBatch } = opts;
+  let queue: QueuedWrite[] = [];
   let isRunning = false;
   let bucket: CommitBucket = { tokens: 1, at: clock.now() };
 
   const share = (): CommitRate =>
     commitRateOf(opts.commitsPerSecond, opts.claimShare, opts.daemons());
 
-  /** The next group: no key twice, none that waited too long. */
-  const takeGroup = (): readonly Queued[] => {
+  /** Takes the next batch from the queue: at most one write per key, none past its time limit. */
+  const takeBatch = (): readonly QueuedWrite[] => {
     const now = clock.now();
-    const late = queue.filter(({ until }) => until <= now);
+    const expired = queue.filter(({ until }) => until <= now);
     const seen = new Set<string>();
-    const group: Queued[] = [];
-    const rest: Queued[] = [];
+    const batch: QueuedWrite[] = [];
+    const remaining: QueuedWrite[] = [];
     for (const queued of queue) {
       if (queued.until <= now) continue;
-      const fits = group.length < batch && !seen.has(queued.write.key);
-      (fits ? group : rest).push(queued);
+      const fits = batch.length < maxBatch && !seen.has(queued.write.key);
+      (fits ? batch : remaining).push(queued);
       seen.add(queued.write.key);
     }
-    queue = rest;
-    settleAll(late, UNAVAILABLE);
-    return group;
+    queue = remaining;
+    settleAll(expired, UNAVAILABLE);
+    return batch;
   };
 
-  /** Commits once; gives the writes that are to be tried again. */
-  const commit = async (group: readonly Queued[]): Promise<readonly Queued[]> => {
+  /** Commits the batch once. Returns the writes to retry. */
+  const commit = async (batch: readonly QueuedWrite[]): Promise<readonly QueuedWrite[]> => {
     const startedAt = clock.now();
-    const result: Result<Committed, StepError> = await table.commit(transactionOf(group));
+    const result: Result<Committed, StepError> = await table.commit(transactionOf(batch));
     metrics.observe(METRIC.claimCommit, clock.now() - startedAt);
     if (result.isOk()) {
-      settleCommitted(group, result.value);
+      settleCommitted(batch, result.value);
       return [];
     }
-    if (result.error.code === 'conflict') return withoutConflicts(table, group);
+    if (result.error.code === 'conflict') return settleConflicts(table, batch);
     const isUnknown = result.error.code !== 'store-unavailable';
-    settleAll(group, isUnknown ? { kind: 'unanswered' } : UNAVAILABLE);
+    settleAll(batch, isUnknown ? { kind: 'unanswered' } : UNAVAILABLE);
     return [];
   };
 
@@ -156,19 +165,19 @@
     }
   };
 
-  const runGroup = async (): Promise<void> => {
+  const runBatch = async (): Promise<void> => {
     await takeToken();
-    let group = takeGroup();
-    for (let round = 0; group.length > 0 && round < MAX_ROUNDS; round += 1) {
-      group = await commit(group);
+    let batch = takeBatch();
+    for (let round = 0; batch.length > 0 && round < MAX_ROUNDS; round += 1) {
+      batch = await commit(batch);
     }
-    settleAll(group, UNAVAILABLE);
+    settleAll(batch, UNAVAILABLE);
   };
 
   const run = async (): Promise<void> => {
     isRunning = true;
     await pause(opts.lingerMs);
-    while (queue.length > 0) await runGroup();
+    while (queue.length > 0) await runBatch();
     isRunning = false;
   };
 
@@ -179,6 +188,6 @@
         if (!isRunning) void run();
       }),
     isOverloaded: () =>
-      expectedWaitMs(bucket, share(), queue.length, batch, clock.now()) > opts.queueTimeoutMs,
+      expectedWaitMs(bucket, share(), queue.length, maxBatch, clock.now()) > opts.queueTimeoutMs,
   };
 }
--- a/src/app/requests/claims.ts
+++ b/src/app/requests/claims.ts
@@ -1,4 +1,4 @@
-/** Claims of requests with an idempotency key: drives the reducer of `core/ledger`. */
+/** Claims on idempotency keys: runs the effects of the reducer in `core/ledger`. */
 
 import { brandAs, later } from '../../core/ids';
 import type { AttemptId } from '../../core/ids';
@@ -16,7 +16,7 @@
 import type { StepError } from '../../utils/errors';
 import { fail } from '../../utils/errors';
 import type { Json } from '../../core/json';
-import { readSeenRow } from './claim-rows';
+import { readVersionedRow } from './claim-rows';
 import type { ClaimWriter } from './claim-writer';
 import type { RequestContext } from './context';
 import type { Call } from './exchange';
@@ -24,26 +24,26 @@
 import type { SendGuard } from './guard';
 import { METRIC } from './names';
 
-/** What came of asking for a claim. */
+/** Outcome of acquiring a claim. */
 export type ClaimVerdict =
   | { readonly kind: 'held'; readonly claim: Claim }
   | { readonly kind: 'exists'; readonly row: ClaimRow }
   | { readonly kind: 'not-held'; readonly reason: NotHeldReason | 'overloaded' };
 
-/** A claim that is held. */
+/** A held claim. Guards sending and records the outcome of the call. */
 export interface Claim extends SendGuard {
-  /** Where a large answer is to be stored. */
+  /** Object store key for an answer that is too large for the row. */
   readonly objectKey: string;
-  /** Resolves when the record is written, or could not be for now. */
+  /** Records the answer. Resolves once the record is written or writing has failed for now. */
   recordAnswer(answer: StoredAnswer): Promise<void>;
-  /** Nothing more will be sent; the row is settled in the background. */
+  /** Declares that nothing more will be sent. The row is settled in the background. */
   abort(): void;
 }
 
-/** Failures after which nothing has run. */
-const NOT_RUN: ReadonlySet<AttemptFailure> = new Set(['refused', 'wrong-group']);
+/** Failures that guarantee that the request was not run. */
+const NOT_RUN_FAILURES: ReadonlySet<AttemptFailure> = new Set(['refused', 'wrong-group']);
 
-/** What two submissions with the same key must have in common. */
+/** Hash that two submissions with the same key must share. */
 export function bodyHashOf(call: Call): string {
   return hashParts(call.method, call.path, call.body);
 }
@@ -59,19 +59,19 @@
     attempt: brandAs<AttemptId>(call.exchange.id),
     holder: self,
     bodyHash: bodyHashOf(call),
-    deadline: call.terms.deadline,
-    deadlineAt: call.terms.deadlineAt,
-    expiresAt: later(call.terms.deadlineAt, settings.claimRetentionMs),
+    deadline: call.options.deadline,
+    deadlineAt: call.options.deadlineAt,
+    expiresAt: later(call.options.deadlineAt, settings.claimRetentionMs),
     releasedUntil: later(epoch, settings.releasedRetentionMs),
   };
 }
 
-/** What one claim's effects act on. */
+/** Context in which the effects of one claim run. */
 interface ClaimRun {
   readonly ctx: RequestContext;
   readonly writer: ClaimWriter;
   readonly rowKey: string;
-  /** Takes an event; gives the effects it had. */
+  /** Applies an event and returns the effects that it caused. */
   readonly dispatch: (event: ClaimEvent) => readonly ClaimEffect[];
   readonly conclude: (verdict: 'held' | Exclude<ClaimVerdict, { kind: 'held' }>) => void;
   readonly onClosed: () => void;
@@ -86,13 +86,13 @@
 
 async function readRow({ ctx, rowKey, dispatch }: ClaimRun): Promise<void> {
   const rows = await ctx.table.read([rowKey]);
-  const seen = rows.isOk() ? readSeenRow(rows.value[0]) : undefined;
+  const seen = rows.isOk() ? readVersionedRow(rows.value[0]) : undefined;
   dispatch(seen === undefined ? { kind: 'unreadable' } : { kind: 'seen', seen });
 }
 
 const EFFECTS: EffectHandlers = {
   write: ({ writer, rowKey, dispatch }, { row, version }) => {
-    // Rows are plain data; their brands do not exist in JSON.
+    // Rows are plain data: branded types exist only at compile time.
     const value = row as unknown as Json;
     void writer.write({ key: rowKey, version, value }).then(dispatch);
   },
@@ -114,7 +114,7 @@
   closed: ({ ctx, rowKey, onClosed }, { settled }) => {
     onClosed();
     if (!settled)
-      ctx.logger.warn('claim row could not be settled', { step: 'record', peer: rowKey });
+      ctx.logger.warn('could not settle the claim row', { step: 'record', peer: rowKey });
   },
   'may-send': () => undefined,
   'must-not-send': () => undefined,
@@ -125,20 +125,23 @@
   handler(run, effect);
 }
 
-/** The claim as the attempts and the end of the request use it. */
+/** Creates the held claim that attempts and the end of the request use. */
 function claimOf(ctx: RequestContext, call: Call, run: ClaimRun, closed: Promise<void>): Claim {
-  const tooLate = (): StepError =>
-    fail('deadline-exceeded', 'claim may no longer be used', { step: 'send', peer: run.rowKey });
+  const expiredError = (): StepError =>
+    fail('deadline-exceeded', 'the claim has expired and no longer permits sending', {
+      step: 'send',
+      peer: run.rowKey,
+    });
   return {
     objectKey: `answers/${run.rowKey}/${call.exchange.id}`,
     beforeSend: () => {
-      // The monotonic clock may have stood still if the whole machine was suspended.
-      if (ctx.clock.epoch() >= call.terms.deadlineAt) return tooLate();
+      // The monotonic clock may not advance while the machine is suspended, so check wall time too.
+      if (ctx.clock.epoch() >= call.options.deadlineAt) return expiredError();
       const allowed = run.dispatch({ kind: 'send' }).some(({ kind }) => kind === 'may-send');
-      return allowed ? undefined : tooLate();
+      return allowed ? undefined : expiredError();
     },
     onFailed: (failure) => {
-      if (NOT_RUN.has(failure)) run.dispatch({ kind: 'refused' });
+      if (NOT_RUN_FAILURES.has(failure)) run.dispatch({ kind: 'refused' });
     },
     capture: () => createCapture(ctx.settings.maxAnswerBytes),
     recordAnswer: (answer) => {
@@ -151,18 +154,19 @@
   };
 }
 
-/** Claims of this daemon. */
+/** The claims of this daemon. */
 export interface Claims {
-  /** Asks for the claim on a key. Resolves with a verdict as soon as there is one. */
+  /** Acquires the claim on a key. Resolves as soon as the verdict is known. */
   acquire(call: Call, key: string): Promise<ClaimVerdict>;
-  /** Resolves when no claim has a write under way. */
+  /** Resolves when no claim has a pending write. */
   settled(): Promise<void>;
 }
 
+/** Creates the claims of a daemon, which share one writer. */
 export function createClaims(ctx: RequestContext, writer: ClaimWriter): Claims {
-  const open = new Set<Promise<void>>();
+  const pending = new Set<Promise<void>>();
 
-  const start = (call: Call, key: string, resolve: (verdict: ClaimVerdict) => void): void => {
+  const startClaim = (call: Call, key: string, resolve: (verdict: ClaimVerdict) => void): void => {
     let state = createClaim(termsOf(ctx, call));
     let onClosed = (): void => undefined;
     const closed = new Promise<void>((done) => (onClosed = done));
@@ -185,10 +189,13 @@
       },
       onClosed,
     };
-    const waitMs = Math.min(ctx.settings.claimTimeoutMs, call.terms.deadline - ctx.clock.now());
-    const timer = setTimeout(() => run.dispatch({ kind: 'give-up' }), waitMs);
-    open.add(closed);
-    void closed.then(() => open.delete(closed));
+    const timeoutMs = Math.min(
+      ctx.settings.claimTimeoutMs,
+      call.options.deadline - ctx.clock.now(),
+    );
+    const timer = setTimeout(() => run.dispatch({ kind: 'give-up' }), timeoutMs);
+    pending.add(closed);
+    void closed.then(() => pending.delete(closed));
     run.dispatch({ kind: 'begin' });
   };
 
@@ -200,10 +207,10 @@
           resolve(verdict);
         };
         if (writer.isOverloaded()) conclude({ kind: 'not-held', reason: 'overloaded' });
-        else start(call, key, conclude);
+        else startClaim(call, key, conclude);
       }),
     settled: async () => {
-      await Promise.all(open);
+      await Promise.all(pending);
     },
   };
 }
--- a/src/app/requests/context.ts
+++ b/src/app/requests/context.ts
@@ -1,4 +1,4 @@
-/** What the modules of the request plane share. */
+/** Dependencies and shared state of the request plane's modules. */
 
 import type { RetryBudget } from '../../core/retry/budget';
 import { createBudget, deposit, tryWithdraw } from '../../core/retry/budget';
@@ -10,7 +10,7 @@
 import type { ConfigView, Gossip, GroupView } from '../parts';
 import type { RequestSettings } from './settings';
 
-/** What the request plane needs of the rest of the daemon. */
+/** What the request plane needs from the rest of the daemon. */
 export interface RequestDeps {
   readonly self: DaemonId;
   readonly config: ConfigView;
@@ -23,24 +23,27 @@
   readonly logger: Logger;
   readonly metrics: Metrics;
   readonly tracer: Tracer;
-  /** Daemons alive, this one included; for shares of common limits. */
+  /** Number of live daemons, including this one, for splitting limits that all daemons share. */
   readonly daemonCount?: () => number;
   readonly settings?: Partial<RequestSettings>;
 }
 
 /** Retry budgets by model or service. */
 export interface RetryBudgets {
+  /** Credits the budget for a new request. */
   deposit(target: string): void;
-  /** False if no further attempt is left. */
+  /** Withdraws one retry. Returns false if the budget is exhausted. */
   tryWithdraw(target: string): boolean;
 }
 
+/** Dependencies with complete settings, the upstream client and the retry budgets. */
 export interface RequestContext extends Omit<RequestDeps, 'settings'> {
   readonly settings: RequestSettings;
   readonly upstream: Upstream;
   readonly retryBudgets: RetryBudgets;
 }
 
+/** Creates the retry budgets; the budget of a target is created on first use. */
 export function createRetryBudgets(settings: RequestSettings): RetryBudgets {
   const budgets = new Map<string, RetryBudget>();
   const budgetOf = (target: string): RetryBudget =>
@@ -50,9 +53,9 @@
       budgets.set(target, deposit(budgetOf(target)));
     },
     tryWithdraw: (target) => {
-      const left = tryWithdraw(budgetOf(target));
-      if (left !== undefined) budgets.set(target, left);
-      return left !== undefined;
+      const remaining = tryWithdraw(budgetOf(target));
+      if (remaining !== undefined) budgets.set(target, remaining);
+      return remaining !== undefined;
     },
   };
 }
--- a/src/app/requests/entry.ts
+++ b/src/app/requests/entry.ts
@@ -1,4 +1,4 @@
-/** Where a caller's request comes in: who sends it, what it asks, and which call it is. */
+/** Entry point of the request plane: authenticates, routes, parses and admits each request. */
 
 import { randomUUID } from 'node:crypto';
 import type { IncomingMessage, ServerResponse } from 'node:http';
@@ -33,9 +33,10 @@
 import type { ServicePath } from './service-path';
 import { authenticate, readCallOptions } from './call-options';
 
-/** First guess at the time of a call to a plain service, milliseconds. */
+/** Initial estimate of the duration of a plain service call, milliseconds. */
 const SERVICE_ESTIMATE_MS = 50;
 
+/** Everything that a route handler needs. */
 export interface RequestPlane {
   readonly ctx: RequestContext;
   readonly parts: RequestParts;
@@ -48,10 +49,10 @@
 }
 
 function notFound(): Ending {
-  return refusedEnding(fail('not-found', 'no such address', { step: 'entry' }));
+  return refusedEnding(fail('not-found', 'no route for the requested path', { step: 'entry' }));
 }
 
-/** Reads terms and body; both must be right before anything is done. */
+/** Parses the call options and reads the body. Nothing is executed unless both are valid. */
 async function readCall(
   { ctx }: RequestPlane,
   exchange: Exchange,
@@ -59,13 +60,13 @@
   path: string,
   repeatable: boolean,
 ): Promise<Result<Call, StepError>> {
-  const terms = readCallOptions(exchange.req.headers, {
+  const options = readCallOptions(exchange.req.headers, {
     repeatable,
     deadlineMs: caller.class.deadlineMs,
     now: exchange.arrivedAt,
     epoch: ctx.clock.epoch(),
   });
-  if (terms.isErr()) return err(terms.error);
+  if (options.isErr()) return err(options.error);
   const { maxBodyBytes } = ctx.settings;
   const origin = { step: 'entry', peer: 'caller' };
   const body = await readBody(exchange.req, {
@@ -74,11 +75,15 @@
     ...origin,
   });
   if (body.isErr()) return err(body.error);
-  if (ctx.clock.now() >= terms.value.deadline) {
-    return err(fail('deadline-exceeded', 'deadline passed on arrival', { step: 'entry' }));
+  if (ctx.clock.now() >= options.value.deadline) {
+    return err(
+      fail('deadline-exceeded', 'the deadline passed before the request was read', {
+        step: 'entry',
+      }),
+    );
   }
   const method = exchange.req.method ?? 'GET';
-  return ok({ exchange, caller, terms: terms.value, method, path, body: body.value });
+  return ok({ exchange, caller, options: options.value, method, path, body: body.value });
 }
 
 async function routeModel(
@@ -93,11 +98,16 @@
   if (body.isErr()) return refusedEnding(body.error);
   const { ctx, parts } = entry;
   if (body.value.stream && exchange.req.httpVersion === '1.0') {
-    const message = 'a stream needs HTTP/1.1: nothing else tells its end from a break';
+    const message =
+      'streaming requires HTTP/1.1: HTTP/1.0 cannot distinguish the end from a broken connection';
     return refusedEnding(fail('bad-request', message, { step: 'entry' }));
   }
   if (!hasModel(ctx, call.value, body.value.model)) {
-    return refusedEnding(fail('model-not-found', 'no such model', { step: 'entry' }));
+    return refusedEnding(
+      fail('model-not-found', 'the organisation has no model with the requested name', {
+        step: 'entry',
+      }),
+    );
   }
   const model = createModelCall(call.value, body.value);
   const quarantined = quarantineFailure(parts, model);
@@ -112,10 +122,10 @@
   });
 }
 
-/** The models of the caller's organisation. */
+/** Lists the models of the caller's organisation. */
 function routeModels({ ctx }: RequestPlane, _exchange: Exchange, caller: Caller): Promise<Ending> {
-  const known = ctx.config.current().models;
-  const ids = Object.keys(caller.organisation.replicas).filter((id) => Object.hasOwn(known, id));
+  const models = ctx.config.current().models;
+  const ids = Object.keys(caller.organisation.replicas).filter((id) => Object.hasOwn(models, id));
   const data = ids.map((id) => ({ id, object: 'model', created: 0, owned_by: 'nutmegstack' }));
   const body = Buffer.from(JSON.stringify({ object: 'list', data }));
   const headers = { 'content-type': 'application/json' };
@@ -126,20 +136,20 @@
   entry: RequestPlane,
   exchange: Exchange,
   caller: Caller,
-  place: ServicePath,
+  servicePath: ServicePath,
 ): Promise<Ending> {
   const spec = caller.organisation.services
-    .filter((id) => id === place.service)
+    .filter((id) => id === servicePath.service)
     .map((id) => entry.ctx.config.current().services[id])[0];
   if (spec === undefined) return notFound();
-  const repeatable = isRepeatable(spec, exchange.req.method ?? 'GET', place.path);
-  const path = place.path + place.query;
+  const repeatable = isRepeatable(spec, exchange.req.method ?? 'GET', servicePath.path);
+  const path = servicePath.path + servicePath.query;
   const call = await readCall(entry, exchange, caller, path, repeatable);
   if (call.isErr()) return refusedEnding(call.error);
   const { ctx, parts } = entry;
-  const found: ServiceCall = { ...call.value, spec };
+  const serviceCall: ServiceCall = { ...call.value, spec };
   return admitAndRun(ctx, parts, {
-    call: found,
+    call: serviceCall,
     target: brandAs<ModelId>(`service/${spec.id}`),
     estimateMs: SERVICE_ESTIMATE_MS,
     capacity: () => ({
@@ -147,7 +157,7 @@
       expectedAt: undefined,
     }),
     honoursKey: spec.honoursIdempotencyKey,
-    run: (guard) => answerServiceCall(ctx, parts.backends, found, guard),
+    run: (guard) => answerServiceCall(ctx, parts.backends, serviceCall, guard),
   });
 }
 
@@ -158,25 +168,29 @@
 
 function findRoute(req: IncomingMessage): Result<Route, StepError> {
   const path = pathOf(req);
-  const place = readServicePath(req.url ?? '/');
-  if (place !== undefined) {
-    return ok((entry, exchange, caller) => routeService(entry, exchange, caller, place));
+  const servicePath = readServicePath(req.url ?? '/');
+  if (servicePath !== undefined) {
+    return ok((entry, exchange, caller) => routeService(entry, exchange, caller, servicePath));
   }
   const methods = Object.hasOwn(ROUTES, path) ? ROUTES[path] : undefined;
-  if (methods === undefined) return err(fail('not-found', 'no such address', { step: 'entry' }));
+  if (methods === undefined)
+    return err(fail('not-found', 'no route for the requested path', { step: 'entry' }));
   const route = methods[req.method ?? 'GET'];
   if (route !== undefined) return ok(route);
-  return err(fail('method-not-allowed', 'no such method here', { step: 'entry' }));
+  return err(
+    fail('method-not-allowed', 'the requested path does not allow this method', { step: 'entry' }),
+  );
 }
 
-/** Makes the exchange for a request that has just come in. */
+/** Creates the exchange for a newly received request. */
 export function createExchange(
   ctx: RequestContext,
   req: IncomingMessage,
   res: ServerResponse,
 ): Exchange {
   const controller = new AbortController();
-  // A write that meets a caller who is gone must not end the process; `close` tells of it.
+  // Writing to a disconnected caller emits `error`, which would end the process if unhandled.
+  // `close` reports the disconnect.
   res.on('error', () => undefined);
   res.once('close', () => {
     if (!res.writableFinished) controller.abort();
@@ -193,7 +207,7 @@
   };
 }
 
-/** Answers a request, whatever it is. Never rejects. */
+/** Handles any request. Never rejects: an unexpected error becomes an `internal` ending. */
 export async function answer(entry: RequestPlane, exchange: Exchange): Promise<Ending> {
   const { ctx } = entry;
   try {
@@ -203,13 +217,18 @@
     if (route.isErr()) return refusedEnding(route.error);
     return await route.value(entry, exchange, caller.value);
   } catch (cause) {
-    const error = fail('internal', 'unexpected error', { step: 'entry', cause });
+    const error = fail('internal', 'unexpected error while handling the request', {
+      step: 'entry',
+      cause,
+    });
     return failedEnding({ error, exposure: 'exposed' });
   }
 }
 
-/** The ending of a request that comes while the daemon is leaving. */
+/** Refuses a request that arrives while the daemon is draining. */
 export function refuseDraining(ctx: RequestContext): Ending {
-  const error = fail('draining', 'this daemon is leaving', { step: 'entry' });
+  const error = fail('draining', 'the daemon is draining and accepts no new requests', {
+    step: 'entry',
+  });
   return refusedEnding(error, later(ctx.clock.epoch(), ctx.settings.retryAfterMs));
 }
--- a/src/app/requests/exchange.ts
+++ b/src/app/requests/exchange.ts
@@ -1,4 +1,4 @@
-/** One request of a caller while it is being answered. */
+/** Types of a request while it is being handled. */
 
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
@@ -6,39 +6,40 @@
 import type { EpochTime, MonoTime, RequestId } from '../../core/ids';
 import type { Span } from '../../ports/telemetry';
 
-/** A request as it came in, before anything is known of its caller. */
+/** A received request and its response, before the caller is authenticated. */
 export interface Exchange {
   readonly id: RequestId;
   readonly req: IncomingMessage;
   readonly res: ServerResponse;
   readonly span: Span;
   readonly arrivedAt: MonoTime;
-  /** Aborted when the caller went away. */
+  /** Aborted when the caller disconnects. */
   readonly gone: AbortSignal;
 }
 
-/** Who sends the request. */
+/** The authenticated sender of a request. */
 export interface Caller {
   readonly organisation: Organisation;
   readonly class: CallerClass;
 }
 
-/** What the caller asks of the system itself, by headers or by default. */
+/** Options that the caller sets by headers, with defaults applied. */
 export interface CallOptions {
-  /** By when the answer matters; on this process's clock and on the wire. */
+  /** The deadline of the answer on this process's monotonic clock. */
   readonly deadline: MonoTime;
+  /** The same deadline as wall-clock time, as sent on the wire. */
   readonly deadlineAt: EpochTime;
   readonly repeatable: boolean;
   readonly idempotencyKey: string | undefined;
 }
 
-/** A request that was understood and whose caller is known. */
+/** A parsed request of an authenticated caller. */
 export interface Call {
   readonly exchange: Exchange;
   readonly caller: Caller;
-  readonly terms: CallOptions;
+  readonly options: CallOptions;
   readonly method: string;
-  /** Path and query below the service, or of the model call. */
+  /** Path and query: relative to the service, or of the model call. */
   readonly path: string;
   readonly body: Uint8Array;
 }
--- a/src/app/requests/group-selector.ts
+++ b/src/app/requests/group-selector.ts
@@ -1,4 +1,7 @@
-/** Chooses replica groups by the decisions of `core/routing`, and tells them how attempts went. */
+/**
+ * Selects replica groups. The decisions are made in `core/routing`, which learns from how attempts
+ * went.
+ */
 
 import type { RoutableGroup } from '../../core/groups/types';
 import type { AttemptId, GroupId, OrganisationId } from '../../core/ids';
@@ -14,11 +17,12 @@
 import type { Clock, Random } from '../../ports/runtime';
 import { hashParts } from '../../utils/common';
 
-/** Prefixes of a prompt that are looked at, at most. */
+/** Maximum number of prompt prefixes used for routing. */
 const MAX_PREFIXES = 8;
+/** The load header: running, queued and maximum requests of the engine's batch. */
 const LOAD = /^(\d+)\/(\d+)\/\d+$/;
 
-/** What the choice depends on. */
+/** Input of a group selection. */
 export interface GroupQuery {
   readonly groups: readonly RoutableGroup[];
   readonly tried: ReadonlySet<string>;
@@ -26,29 +30,37 @@
   readonly organisation: OrganisationId;
 }
 
-/** What is kept of a request that was sent. */
+/** Properties of a sent request that routing tracks. */
 export interface SentRequest extends Pick<GroupQuery, 'prefixKeys' | 'organisation'> {
-  /** Only the first token of a stream tells how fast a group begins. */
+  /** Whether the answer is streamed: only streams show the time to the first token. */
   readonly streams: boolean;
 }
 
+/** Selects groups and reports attempts to routing. */
 export interface GroupSelector {
+  /** Returns the selected group, or undefined if no untried group is eligible. */
   select(req: GroupQuery): RoutableGroup | undefined;
+  /** Called when an attempt is sent. */
   sent(attempt: AttemptId, group: GroupId, req: SentRequest): void;
+  /** Called when the first token of an answer arrives. */
   firstToken(attempt: AttemptId): void;
-  /** To be called for each attempt that was chosen, sent or not. */
+  /** Must be called for each attempt whose group was selected, whether it was sent or not. */
   end(attempt: AttemptId, tokens: number): void;
-  /** Takes the load header of an answer; one that cannot be read is passed over. */
+  /** Applies the load header of an answer. Malformed headers are ignored. */
   load(group: GroupId, header: string | undefined): void;
 }
 
-/** Hashes of the prompt's beginnings, shortest first: each part joined to those before it. */
+/**
+ * Returns the hashes of the prompt's prefixes, shortest first. Each hash covers one more part than
+ * the one before.
+ */
 export function prefixKeysOf(parts: readonly string[]): readonly string[] {
   const keys: string[] = [];
   for (const part of parts.slice(0, MAX_PREFIXES)) keys.push(hashParts(keys.at(-1) ?? '', part));
   return keys;
 }
 
+/** Creates a group selector with its own routing state. */
 export function createGroupSelector(clock: Clock, random: Random): GroupSelector {
   const state = createRouting();
   const now = () => ({ now: clock.now() });
@@ -68,9 +80,9 @@
       onEnd(state, { attempt, tokens }, now());
     },
     load: (group, header) => {
-      const found = LOAD.exec(header ?? '');
-      if (found === null) return;
-      const report = { group, inFlight: Number(found[1]), queued: Number(found[2]) };
+      const match = LOAD.exec(header ?? '');
+      if (match === null) return;
+      const report = { group, inFlight: Number(match[1]), queued: Number(match[2]) };
       onLoadReport(state, report, now());
     },
   };
--- a/src/app/requests/guard.ts
+++ b/src/app/requests/guard.ts
@@ -1,31 +1,33 @@
-/** What stands between a call and its sending: nothing, or a claim. */
+/** Guards that are checked when a call is sent: a claim, or none. */
 
 import type { AttemptFailure } from '../../core/retry/decide';
 import type { StepError } from '../../utils/errors';
 
-/** Keeps what is passed on of a stream, up to a limit. */
+/** Buffers the forwarded bytes of a stream, up to a limit. */
 export interface Capture {
   readonly push: (bytes: Buffer) => void;
-  /** Undefined if it grew beyond the limit. */
+  /** The buffered bytes, or undefined if the limit was exceeded. */
   readonly chunks: () => readonly Buffer[] | undefined;
 }
 
+/** Permits or forbids sending, and observes attempts. */
 export interface SendGuard {
-  /** Runs in the tick of the write; an error forbids it. */
+  /** Called in the same tick as the write. An error forbids sending. */
   beforeSend(): StepError | undefined;
-  /** An attempt failed; in some ways, what was sent did not run. */
+  /** Called when an attempt failed. Some failures imply that the request did not run. */
   onFailed(failure: AttemptFailure): void;
-  /** A capture, if the answer is to be stored. */
+  /** Creates a capture if the answer is to be stored. */
   capture(): Capture | undefined;
 }
 
-/** For calls without a claim. */
+/** Guard of calls without a claim: always permits sending. */
 export const NOOP_GUARD: SendGuard = {
   beforeSend: () => undefined,
   onFailed: () => undefined,
   capture: () => undefined,
 };
 
+/** Creates a capture of at most `maxBytes`. */
 export function createCapture(maxBytes: number): Capture {
   let kept: Buffer[] | undefined = [];
   let bytes = 0;
--- a/src/app/requests/model-answer.ts
+++ b/src/app/requests/model-answer.ts
@@ -1,4 +1,7 @@
-/** Reads an engine's answer: whole, streamed, or a refusal; and checks whose it is. */
+/**
+ * Reads an engine's response: a complete answer, a stream or a refusal. Verifies that it belongs to
+ * the attempt and comes from the expected group and epoch.
+ */
 
 import type { IncomingMessage } from 'node:http';
 import type { Result } from 'neverthrow';
@@ -26,9 +29,9 @@
 import { checkBufferedAnswer } from './buffered-answer';
 
 const MAX_REFUSAL_BYTES = 64 * 1024;
-const STATUS = { conflict: 409, unavailable: 503, errorsOfOurs: 400, errorsOfTheirs: 500 };
+const STATUS = { conflict: 409, unavailable: 503, clientError: 400, serverError: 500 };
 
-/** What one attempt needs at hand. */
+/** An attempt with everything that it needs. */
 export interface ModelAttempt {
   readonly ctx: RequestContext;
   readonly call: ModelCall;
@@ -36,12 +39,12 @@
   readonly id: AttemptId;
   readonly span: Span;
   readonly guard: SendGuard;
-  readonly choice: GroupSelector;
+  readonly selector: GroupSelector;
   readonly strikes: Strikes;
   readonly abort: AttemptAbort;
 }
 
-/** Whether the answer is from the group and epoch that the attempt was sent to. */
+/** Whether the answer comes from the group and epoch that the attempt was sent to. */
 function isFromGroup({ headers }: IncomingMessage, { group }: ModelAttempt): boolean {
   return headers[HEADER.group] === group.id && headers[HEADER.epoch] === String(group.epoch);
 }
@@ -55,6 +58,7 @@
   return attemptFailed('bad-answer', error);
 }
 
+/** Reports a failure of the group to the control plane. */
 export function reportEvidence(
   { ctx, group }: ModelAttempt,
   kind: 'lost' | 'wrong-group' | 'refused',
@@ -63,7 +67,10 @@
   ctx.groups.report({ group: group.id, epoch: group.epoch, kind, step });
 }
 
-/** The reason in an engine's refusal, or undefined if its body did not come whole. */
+/**
+ * Returns the reason in an engine's refusal: empty if the body states none, undefined if it could
+ * not be read completely.
+ */
 async function readReason(answered: Answered): Promise<string | undefined> {
   const body = await readBody(answered.res, { maxBytes: MAX_REFUSAL_BYTES, step: 'first-byte' });
   if (body.isErr()) return undefined;
@@ -75,22 +82,34 @@
   }
 }
 
-/** A 409: the engine belongs to another group or epoch, and did not run the request. */
+/** Handles a 409: the engine belongs to another group or epoch and did not run the request. */
 async function onConflict(attempt: ModelAttempt, answered: Answered): Promise<AttemptResult> {
   const reason = await readReason(answered);
-  if (reason !== 'wrong-group') return badAnswer(attempt, 'conflict without a known reason');
+  if (reason !== 'wrong-group')
+    return badAnswer(attempt, 'the engine answered 409 without the reason wrong-group');
   reportEvidence(attempt, 'wrong-group', 'first-byte');
   const origin = { step: 'first-byte', peer: attempt.group.address };
-  return attemptFailed('wrong-group', fail('backend-refused', 'engine left the group', origin));
+  return attemptFailed(
+    'wrong-group',
+    fail('backend-refused', 'the engine no longer belongs to the group', origin),
+  );
 }
 
-/** A 503: not run, if the engine says so. */
+/** Handles a 503. The request counts as not run only if the engine says so. */
 async function onUnavailable(attempt: ModelAttempt, answered: Answered): Promise<AttemptResult> {
   const reason = await readReason(answered);
   const isRefusal = answered.res.headers[HEADER.refused] === 'true' && reason !== undefined;
-  if (!isRefusal) return badAnswer(attempt, 'engine failed', 'backend-lost');
+  if (!isRefusal)
+    return badAnswer(
+      attempt,
+      'the engine answered 503 without refusing the request',
+      'backend-lost',
+    );
   const origin = { step: 'first-byte', peer: attempt.group.address };
-  return attemptFailed('refused', fail('backend-refused', 'engine takes no request now', origin));
+  return attemptFailed(
+    'refused',
+    fail('backend-refused', 'the engine accepts no requests at present', origin),
+  );
 }
 
 function readWhole(
@@ -105,18 +124,18 @@
   });
 }
 
-/** An error that the engine found in the request itself: passed on as the answer. */
+/** Passes an error in the request itself (4xx) on to the caller as the answer. */
 async function onRequestError(attempt: ModelAttempt, answered: Answered): Promise<AttemptResult> {
   const body = await readWhole(attempt, answered);
   if (body.isErr()) return attemptFailed('lost', body.error);
   const type = answered.res.headers['content-type'] ?? 'application/json';
   const headers = { 'content-type': type };
-  const status = answered.res.statusCode ?? STATUS.errorsOfOurs;
+  const status = answered.res.statusCode ?? STATUS.clientError;
   return { kind: 'done', ending: doneEnding({ kind: 'whole', status, headers, body: body.value }) };
 }
 
-function observeFirst({ ctx, call, choice, id }: ModelAttempt): void {
-  choice.firstToken(id);
+function observeFirstToken({ ctx, call, selector, id }: ModelAttempt): void {
+  selector.firstToken(id);
   const sinceArrival = ctx.clock.now() - call.exchange.arrivedAt;
   ctx.metrics.observe(METRIC.firstToken, sinceArrival, call.labels);
 }
@@ -125,8 +144,8 @@
   const body = await readWhole(attempt, answered);
   if (body.isErr()) return attemptFailed('lost', body.error);
   const fault = checkBufferedAnswer(body.value);
-  if (fault !== undefined) return badAnswer(attempt, `not a whole answer: ${fault}`);
-  observeFirst(attempt);
+  if (fault !== undefined) return badAnswer(attempt, `incomplete or malformed answer: ${fault}`);
+  observeFirstToken(attempt);
   const headers = { 'content-type': 'application/json' };
   return {
     kind: 'done',
@@ -135,9 +154,10 @@
 }
 
 /** One gap in so many is recorded, which keeps the cost per chunk down and the sample fair. */
+/** The gap between two chunks is measured once per this many chunks. */
 const GAP_SAMPLE = 16;
 
-/** Counts chunks and samples the time between them. */
+/** Counts the chunks of a stream and samples the time between them. */
 interface ChunkMeter {
   readonly onChunk: () => void;
   readonly chunks: () => number;
@@ -145,13 +165,13 @@
 
 function createChunkMeter({ ctx, call }: ModelAttempt): ChunkMeter {
   let chunks = 0;
-  let before = 0;
+  let sampleStartedAt = 0;
   const onChunk = (): void => {
-    const place = chunks % GAP_SAMPLE;
+    const indexInSample = chunks % GAP_SAMPLE;
     chunks += 1;
-    if (place === 0) before = ctx.clock.now();
-    else if (place === 1) {
-      ctx.metrics.observe(METRIC.betweenTokens, ctx.clock.now() - before, call.labels);
+    if (indexInSample === 0) sampleStartedAt = ctx.clock.now();
+    else if (indexInSample === 1) {
+      ctx.metrics.observe(METRIC.betweenTokens, ctx.clock.now() - sampleStartedAt, call.labels);
     }
   };
   return { onChunk, chunks: () => chunks };
@@ -160,7 +180,8 @@
 async function onStream(attempt: ModelAttempt, answered: Answered): Promise<AttemptResult> {
   const { ctx, call, group } = attempt;
   const contentType = answered.res.headers['content-type'] ?? EVENT_STREAM;
-  if (!contentType.startsWith(EVENT_STREAM)) return badAnswer(attempt, 'not an event stream');
+  if (!contentType.startsWith(EVENT_STREAM))
+    return badAnswer(attempt, 'the answer to a streaming request is not an event stream');
   const capture = attempt.guard.capture();
   const meter = createChunkMeter(attempt);
   const relayed = await relayStream({
@@ -171,13 +192,13 @@
     idleTimeoutMs: ctx.settings.streamIdleTimeoutMs,
     onFirst: () => {
       attempt.abort.clearDeadline();
-      observeFirst(attempt);
+      observeFirstToken(attempt);
       startStream(call.exchange.res, call.exchange.id, contentType);
     },
     onChunk: meter.onChunk,
     onForward: capture?.push,
   });
-  attempt.choice.end(attempt.id, meter.chunks());
+  attempt.selector.end(attempt.id, meter.chunks());
   if (relayed.kind === 'broken') return attemptFailed('lost', relayed.error, relayed.started);
   const captured = capture?.chunks();
   return {
@@ -186,27 +207,32 @@
   };
 }
 
-/** Whether the answer can only be to this attempt: it says so, or no other call was before it. */
-function isOwn(attempt: ModelAttempt, { res, reused }: Answered): boolean {
+/**
+ * Whether the response certainly belongs to this attempt: it echoes the attempt id, or it is a
+ * refusal without one on a connection that carried no earlier request.
+ */
+function isForAttempt(attempt: ModelAttempt, { res, reused }: Answered): boolean {
   const echoed = res.headers[HEADER.attempt];
   const isRefusal = res.statusCode === STATUS.conflict || res.statusCode === STATUS.unavailable;
   return echoed === attempt.id || (echoed === undefined && isRefusal && !reused);
 }
 
-/** Reads the answer according to its status. */
+/** Reads the response according to its status. */
 export async function readAnswer(
   attempt: ModelAttempt,
   answered: Answered,
 ): Promise<AttemptResult> {
   const status = answered.res.statusCode ?? 0;
-  if (!isOwn(attempt, answered)) return badAnswer(attempt, 'answer is for another attempt');
+  if (!isForAttempt(attempt, answered))
+    return badAnswer(attempt, 'the answer belongs to another attempt');
   if (status === STATUS.conflict) return onConflict(attempt, answered);
   if (status === STATUS.unavailable) return onUnavailable(attempt, answered);
-  if (status >= STATUS.errorsOfTheirs) return badAnswer(attempt, 'engine failed', 'backend-lost');
+  if (status >= STATUS.serverError)
+    return badAnswer(attempt, 'the engine failed to answer the request', 'backend-lost');
   if (!isFromGroup(answered.res, attempt)) {
     reportEvidence(attempt, 'wrong-group', 'first-byte');
-    return badAnswer(attempt, 'answer is from another group or epoch');
+    return badAnswer(attempt, 'the answer comes from another group or epoch');
   }
-  if (status >= STATUS.errorsOfOurs) return onRequestError(attempt, answered);
+  if (status >= STATUS.clientError) return onRequestError(attempt, answered);
   return attempt.call.stream ? onStream(attempt, answered) : onWhole(attempt, answered);
 }
--- a/src/app/requests/model-attempt.ts
+++ b/src/app/requests/model-attempt.ts
@@ -22,7 +22,7 @@
     [HEADER.epoch]: String(group.epoch),
     [HEADER.attempt]: id,
     [HEADER.priority]: String(call.caller.class.worth),
-    [HEADER.deadline]: String(Math.floor(call.terms.deadlineAt)),
+    [HEADER.deadline]: String(Math.floor(call.options.deadlineAt)),
     [HEADER.cacheSalt]: call.cacheSalt,
     [HEADER.traceparent]: span.traceparent,
   };
@@ -35,26 +35,27 @@
   return { attempt: id, fingerprint, group: group.id, domain: group.domain, suspect, startedAt };
 }
 
-function noteSent(attempt: ModelAttempt): void {
-  const { choice, strikes, call, group, id } = attempt;
+function recordSent(attempt: ModelAttempt): void {
+  const { selector, strikes, call, group, id } = attempt;
   strikes.sent(runOf(attempt));
   const organisation = call.caller.organisation.id;
   const { prefixKeys, stream: streams } = call;
-  choice.sent(id, group.id, { prefixKeys, organisation, streams });
+  selector.sent(id, group.id, { prefixKeys, organisation, streams });
 }
 
-/** Checked in the tick of the write, since this process may have been paused meanwhile. */
+/** Runs in the same tick as the write, because the process may have been paused since selection. */
 function checkBeforeSend(attempt: ModelAttempt): StepError | undefined {
   const { ctx, call, group } = attempt;
   const now = ctx.clock.now();
   const origin = { step: 'send', peer: group.address };
-  if (now >= call.terms.deadline) return fail('deadline-exceeded', 'deadline passed', origin);
+  if (now >= call.options.deadline)
+    return fail('deadline-exceeded', 'the deadline passed before sending', origin);
   const current = ctx.groups.routable(group.model).find((each) => each.id === group.id);
   if (current?.epoch !== group.epoch) {
-    return fail('no-group', 'group is no longer routable', origin);
+    return fail('no-group', 'the group is no longer routable', origin);
   }
   const refusal = attempt.guard.beforeSend();
-  if (refusal === undefined) noteSent(attempt);
+  if (refusal === undefined) recordSent(attempt);
   return refusal;
 }
 
@@ -65,8 +66,8 @@
   return attemptFailed(result.kind, result.error);
 }
 
-/** After an abort there is no further attempt, whatever the connection's error looks like. */
-function orGivenUp(attempt: ModelAttempt, result: AttemptResult): AttemptResult {
+/** After an abort, reports `given-up` with the abort reason, whatever error the connection gave. */
+function applyAbort(attempt: ModelAttempt, result: AttemptResult): AttemptResult {
   if (result.kind === 'done' || !attempt.abort.controller.signal.aborted) return result;
   const reason: unknown = attempt.abort.controller.signal.reason;
   const error = reason instanceof Error && 'step' in reason ? (reason as StepError) : result.error;
@@ -78,41 +79,44 @@
   return typeof load === 'string' ? load : undefined;
 }
 
-/** Tells quarantine how a run ended, before the group's loss is reported. */
-function noteEnd(attempt: ModelAttempt, result: AttemptResult): void {
+/** Reports the end of a run to the quarantine. Must precede the report of the group's loss. */
+function recordRunEnd(attempt: ModelAttempt, result: AttemptResult): void {
   const { strikes, id, abort } = attempt;
-  const isTorn = result.kind === 'failed' && result.failure === 'lost';
-  if (isTorn && !abort.controller.signal.aborted) strikes.interrupted(id);
+  const isInterrupted = result.kind === 'failed' && result.failure === 'lost';
+  if (isInterrupted && !abort.controller.signal.aborted) strikes.interrupted(id);
   else strikes.ended(runOf(attempt), result.kind === 'done');
 }
 
-/** Sends the call to the group and reads the answer. Tears the connection unless all went well. */
+/**
+ * Sends the call to the group and reads the answer. Destroys the connection if the attempt failed
+ * after the engine may have run the request.
+ */
 export async function attemptModel(attempt: ModelAttempt): Promise<AttemptResult> {
-  const { ctx, call, group, choice, id, abort } = attempt;
+  const { ctx, call, group, selector, id, abort } = attempt;
   const sent = await ctx.upstream.send({
     address: group.address,
     method: 'POST',
     path: call.path,
     headers: engineHeaders(attempt),
     body: call.body,
-    ownConnection: !call.terms.repeatable,
+    ownConnection: !call.options.repeatable,
     beforeSend: () => checkBeforeSend(attempt),
     signal: abort.controller.signal,
   });
   if (sent.kind !== 'answered') {
-    choice.end(id, 0);
-    noteEnd(attempt, attemptFailed(sent.kind, sent.error));
-    return orGivenUp(attempt, onNotAnswered(attempt, sent));
+    selector.end(id, 0);
+    recordRunEnd(attempt, attemptFailed(sent.kind, sent.error));
+    return applyAbort(attempt, onNotAnswered(attempt, sent));
   }
-  choice.load(group.id, loadHeader(sent.res));
+  selector.load(group.id, loadHeader(sent.res));
   const result = await readAnswer(attempt, sent);
-  choice.end(id, 0);
-  noteEnd(attempt, result);
+  selector.end(id, 0);
+  recordRunEnd(attempt, result);
   if (result.kind === 'failed' && result.exposure === 'exposed') {
     sent.destroy();
     if (result.failure === 'lost' && !abort.controller.signal.aborted) {
       reportEvidence(attempt, 'lost', result.error.step);
     }
   }
-  return orGivenUp(attempt, result);
+  return applyAbort(attempt, result);
 }
--- a/src/app/requests/model-body.ts
+++ b/src/app/requests/model-body.ts
@@ -1,4 +1,4 @@
-/** The body of an OpenAI-style call, as far as the system needs to know it. */
+/** Parses the fields of an OpenAI-style request body that the system needs. */
 
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
@@ -19,20 +19,21 @@
 const chat = common.extend({ messages: z.array(message).min(1) });
 const completion = common.extend({ prompt: z.unknown() });
 
-/** The paths of model calls, and how their bodies look. */
+/** Paths of model calls with the schemas of their bodies. */
 export const MODEL_PATHS = {
   '/v1/chat/completions': chat,
   '/v1/completions': completion,
 } as const;
 
+/** Path of a model call. */
 export type ModelPath = keyof typeof MODEL_PATHS;
 
-/** What is known of a body. */
+/** The parsed fields of a body. */
 export interface ModelBody {
   readonly model: string;
   readonly stream: boolean;
-  /** Texts of the prompt, in order: messages or the prompt itself. */
-  readonly parts: readonly string[];
+  /** The prompt as texts, in order: one per message, or the prompt itself. */
+  readonly promptParts: readonly string[];
   readonly maxTokens: number | undefined;
 }
 
@@ -44,7 +45,7 @@
   try {
     return ok(JSON.parse(Buffer.from(body).toString()));
   } catch {
-    return err(badBody('body is not JSON'));
+    return err(badBody('the body is not valid JSON'));
   }
 }
 
@@ -57,20 +58,23 @@
   return body.messages.map(textOf);
 }
 
-/** Errors: `bad-request`, which names the wrong field and never quotes it. */
+/**
+ * Parses the body of a model call. Errors: `bad-request`, with the names of the invalid fields but
+ * never their values.
+ */
 export function readModelBody(path: ModelPath, body: Uint8Array): Result<ModelBody, StepError> {
   const json = parseJson(body);
   if (json.isErr()) return err(json.error);
   const parsed = MODEL_PATHS[path].safeParse(json.value);
   if (!parsed.success) {
     const fields = parsed.error.issues.map((issue) => issue.path.join('.') || 'body');
-    return err(badBody(`wrong or missing: ${fields.join(', ')}`));
+    return err(badBody(`missing or invalid fields: ${fields.join(', ')}`));
   }
   const { model, stream, max_tokens, max_completion_tokens } = parsed.data;
   return ok({
     model,
     stream: stream ?? false,
-    parts: partsOf(parsed.data),
+    promptParts: partsOf(parsed.data),
     maxTokens: max_completion_tokens ?? max_tokens ?? undefined,
   });
 }
--- a/src/app/requests/model-call.ts
+++ b/src/app/requests/model-call.ts
@@ -1,4 +1,4 @@
-/** A call of a model: from a body that was read to an ending. */
+/** Handles model calls, from the parsed body to the ending. */
 
 import type { RoutableGroup } from '../../core/groups/types';
 import type { AttemptId, Fingerprint, ModelId } from '../../core/ids';
@@ -19,10 +19,10 @@
 import type { ModelBody } from './model-body';
 import type { ModelCall } from './model-request';
 
-/** Estimate of the time in a slot, milliseconds; admission corrects it by what it measures. */
+/** Initial estimate of the slot time, milliseconds; admission corrects it by measured times. */
 const ESTIMATE = { baseMs: 100, perTokenMs: 20, tokensByDefault: 256 } as const;
 
-/** Whether the organisation has the model. Others' models are as good as unknown. */
+/** Whether the organisation has the model. Models of other organisations count as unknown. */
 export function hasModel(ctx: RequestContext, call: Call, model: string): boolean {
   const { replicas } = call.caller.organisation;
   return Object.hasOwn(ctx.config.current().models, model) && Object.hasOwn(replicas, model);
@@ -32,20 +32,24 @@
   return brandAs<Fingerprint>(hashParts(caller.organisation.id, model, path, body));
 }
 
+/** Creates a model call from a request and its parsed body. */
 export function createModelCall(call: Call, body: ModelBody): ModelCall {
   return {
     ...call,
     model: brandAs<ModelId>(body.model),
     stream: body.stream,
     maxTokens: body.maxTokens,
-    prefixKeys: prefixKeysOf(body.parts),
+    prefixKeys: prefixKeysOf(body.promptParts),
     fingerprint: fingerprintOf(call, body.model),
     cacheSalt: hashParts('cache-salt', call.caller.organisation.id),
     labels: { model: body.model, class: call.caller.class.name },
   };
 }
 
-/** Requests that this daemon may have in flight on the model's groups: its part of their batches. */
+/**
+ * Requests that this daemon may have in flight on the model's groups: the batch slots of all
+ * routable groups, overcommitted, divided by the number of daemons.
+ */
 export function modelCapacity(ctx: RequestContext, model: ModelId): Capacity {
   const batches = ctx.groups.routable(model).reduce((sum, { maxBatch }) => sum + maxBatch, 0);
   const daemons = Math.max(1, ctx.daemonCount?.() ?? 1);
@@ -53,24 +57,29 @@
   return { slots, expectedAt: ctx.groups.expectedAt(model) };
 }
 
+/** Estimated time that the call occupies a slot, milliseconds. */
 export function estimateMs({ maxTokens = ESTIMATE.tokensByDefault }: ModelCall): number {
   return ESTIMATE.baseMs + maxTokens * ESTIMATE.perTokenMs;
 }
 
 function noGroup(ctx: RequestContext, call: ModelCall): Selection<RoutableGroup> {
-  const error = fail('no-group', 'no replica group can take the request', { step: 'routing' });
+  const error = fail('no-group', 'no replica group can accept the request', { step: 'routing' });
   const soon = later(ctx.clock.epoch(), ctx.settings.retryAfterMs);
   const retryAt = ctx.groups.expectedAt(call.model) ?? soon;
   return { kind: 'none', failure: { error, exposure: 'none', retryAt } };
 }
 
-/** The failure of a request that has crashed too many groups; it says nothing of earlier attempts. */
+/**
+ * Returns the failure of a quarantined request, or undefined. Its exposure does not include that of
+ * earlier attempts.
+ */
 export function quarantineFailure(
   parts: RequestParts,
   { fingerprint }: ModelCall,
 ): Failure | undefined {
   if (parts.strikes.suspicion(fingerprint) !== 'quarantined') return undefined;
-  const message = 'the request was running whenever several groups were lost';
+  const message =
+    'the request is quarantined: it was running on several groups when they were lost';
   const error = fail('quarantined', message, { step: 'quarantine' });
   return { error, exposure: 'none', retryAt: parts.strikes.quarantinedUntil(fingerprint) };
 }
@@ -88,15 +97,15 @@
   const groups = parts.strikes.open(call.fingerprint, untried);
   const { prefixKeys } = call;
   const organisation = call.caller.organisation.id;
-  const place = parts.selector.select({ groups, tried, prefixKeys, organisation });
+  const group = parts.selector.select({ groups, tried, prefixKeys, organisation });
   span.set('groups', groups.length);
-  span.end(place === undefined ? 'no-group' : undefined);
-  if (place === undefined) return noGroup(ctx, call);
-  return { kind: 'place', key: place.id, destination: place };
+  span.end(group === undefined ? 'no-group' : undefined);
+  if (group === undefined) return noGroup(ctx, call);
+  return { kind: 'place', key: group.id, destination: group };
 }
 
-/** Where one attempt goes, and what must hold when it is sent. */
-interface Sending {
+/** Destination of one attempt, and the guard checked when it is sent. */
+interface AttemptTarget {
   readonly group: RoutableGroup;
   readonly id: AttemptId;
   readonly guard: SendGuard;
@@ -106,16 +115,16 @@
   ctx: RequestContext,
   parts: RequestParts,
   call: ModelCall,
-  { group, id, guard }: Sending,
+  { group, id, guard }: AttemptTarget,
 ): Promise<AttemptResult> {
-  const { selector: choice, strikes } = parts;
+  const { selector, strikes } = parts;
   const span = call.exchange.span.child('attempt');
   span.set('group', group.id);
   span.set('peer', group.address);
-  const { deadline } = call.terms;
+  const { deadline } = call.options;
   const { gone } = call.exchange;
   const abort = createAbort({ clock: ctx.clock, deadline, gone, peer: group.address });
-  const attempt = { ctx, choice, strikes, call, group, id, span, guard, abort };
+  const attempt = { ctx, selector, strikes, call, group, id, span, guard, abort };
   try {
     const result = await attemptModel(attempt);
     span.end(result.kind === 'failed' ? result.error.code : undefined);
@@ -125,7 +134,7 @@
   }
 }
 
-/** Sends the call to replica groups until one gives a whole answer. */
+/** Sends the call to replica groups until one returns a complete answer. */
 export function answerModelCall(
   ctx: RequestContext,
   parts: RequestParts,
@@ -134,7 +143,7 @@
 ): Promise<Ending> {
   const plan: AttemptPlan<RoutableGroup> = {
     target: call.model,
-    repeatable: call.terms.repeatable,
+    repeatable: call.options.repeatable,
     guard,
     pick: (tried) => pickGroup(ctx, parts, call, tried),
     attempt: (group, id) => runAttempt(ctx, parts, call, { group, id, guard }),
--- a/src/app/requests/model-request.ts
+++ b/src/app/requests/model-request.ts
@@ -1,18 +1,18 @@
-/** A model call as its attempts and answers see it. */
+/** The model call type. */
 
 import type { Fingerprint, ModelId } from '../../core/ids';
 import type { Labels } from '../../ports/telemetry';
 import type { Call } from './exchange';
 
-/** A call of a model that was read and checked. */
+/** A parsed and validated model call. */
 export interface ModelCall extends Call {
   readonly model: ModelId;
   readonly stream: boolean;
   readonly maxTokens: number | undefined;
   readonly prefixKeys: readonly string[];
-  /** The same for the same request sent again. */
+  /** Identifies the request content: equal for a resubmission of the same request. */
   readonly fingerprint: Fingerprint;
-  /** Keeps the cached prefixes of organisations apart. */
+  /** Separates the prefix caches of organisations. */
   readonly cacheSalt: string;
   readonly labels: Labels;
 }
--- a/src/app/requests/names.ts
+++ b/src/app/requests/names.ts
@@ -1,5 +1,6 @@
-/** Names on the wire and of metrics. */
+/** Names of headers and metrics. */
 
+/** Header names, in lower case as Node reports them. */
 export const HEADER = {
   attempt: 'nutmegstack-attempt',
   cacheSalt: 'nutmegstack-cache-salt',
@@ -19,9 +20,12 @@
   traceparent: 'traceparent',
 } as const;
 
-/** All headers of our own begin with this; none is passed between caller and backend server. */
+/**
+ * Prefix of the system's own headers. None of them is forwarded between caller and backend server.
+ */
 export const OWN_HEADER_PREFIX = 'nutmegstack-';
 
+/** Metric names. */
 export const METRIC = {
   requests: 'nutmegstack_requests_total',
   attempts: 'nutmegstack_attempts_total',
@@ -37,4 +41,5 @@
   quarantined: 'nutmegstack_quarantined_total',
 } as const;
 
+/** Content type of a stream of server-sent events. */
 export const EVENT_STREAM = 'text/event-stream';
--- a/src/app/requests/pause.ts
+++ b/src/app/requests/pause.ts
@@ -1,6 +1,6 @@
-/** Waiting. */
+/** A cancellable delay. */
 
-/** Resolves after `ms`, or as soon as the signal is aborted. Does not keep the process alive. */
+/** Resolves after `ms`, or when the signal is aborted. Does not keep the process alive. */
 export function pause(ms: number, signal?: AbortSignal): Promise<void> {
   return new Promise((resolve) => {
     const finish = (): void => {
--- a/src/app/requests/relay.ts
+++ b/src/app/requests/relay.ts
@@ -1,6 +1,7 @@
 /**
- * Passes a stream from an engine to a caller. Bytes are counted, not parsed. A slow caller holds
- * back its own stream alone: reading from the engine stops until the caller has taken what is there.
+ * Relays a stream from an engine to a caller without parsing its contents. Backpressure applies per
+ * stream: reading from the engine pauses until the caller has drained its buffer, so a slow caller
+ * delays only its own stream.
  */
 
 import type { IncomingMessage, ServerResponse } from 'node:http';
@@ -10,49 +11,53 @@
 import { createFrameCheck } from './sse';
 import type { FrameCheck, StreamFault } from './sse';
 
-/** A stream to pass on. */
+/** A stream to relay. */
 export interface RelayOptions {
   readonly from: IncomingMessage;
   readonly to: ServerResponse;
-  /** Address of the engine, for errors. */
+  /** Address of the engine, for error messages. */
   readonly peer: string;
   readonly maxFrameBytes: number;
-  /** Longest time without progress on either side, milliseconds. */
+  /** Maximum time without progress on either side, milliseconds. */
   readonly idleTimeoutMs: number;
-  /** Called before the first byte is passed on. */
+  /** Called before the first byte is forwarded. */
   readonly onFirst: () => void;
-  /** Called with each chunk that came in. */
+  /** Called for each received chunk. */
   readonly onChunk: () => void;
-  /** Called with each piece that is passed on. */
+  /** Called with the bytes of each forwarded piece. */
   readonly onForward?: ((bytes: Buffer) => void) | undefined;
 }
 
-/** The stream came to its proper end; `last` is still to be written. */
+/** The stream ended properly; `last` has not been written yet. */
 export interface RelayComplete {
   readonly kind: 'whole';
   readonly last: Buffer;
 }
 
-/** The stream broke; `started` if any of it has reached the caller. */
+/** The stream broke. `started` tells whether any of it has reached the caller. */
 export interface RelayBroken {
   readonly kind: 'broken';
   readonly started: boolean;
   readonly error: StepError;
 }
 
+/** Outcome of a relayed stream. */
 export type RelayResult = RelayComplete | RelayBroken;
 
 function faultError(fault: StreamFault, peer: string): StepError {
-  return fail('bad-answer', `stream is not a whole answer: ${fault}`, { step: 'last-byte', peer });
+  return fail('bad-answer', `incomplete or malformed stream: ${fault}`, {
+    step: 'last-byte',
+    peer,
+  });
 }
 
-function verdictOf(check: FrameCheck, started: boolean, peer: string): RelayResult {
+function resultOf(check: FrameCheck, started: boolean, peer: string): RelayResult {
   const end = check.finish();
   if (typeof end !== 'string') return { kind: 'whole', last: end };
   return { kind: 'broken', started, error: faultError(end, peer) };
 }
 
-/** Passes the stream on until it ends or breaks. The caller of this function tears connections. */
+/** Relays the stream until it ends or breaks. Closing the connections is left to the caller. */
 export function relayStream(job: RelayOptions): Promise<RelayResult> {
   const { from, to, peer } = job;
   const check = createFrameCheck(job.maxFrameBytes);
@@ -65,17 +70,19 @@
       to.off('drain', onDrain);
       resolve(result);
     };
-    const breakOff = (error: StepError): void => {
+    const settleBroken = (error: StepError): void => {
       settle({ kind: 'broken', started, error });
     };
     const timer = setTimeout(() => {
-      breakOff(fail('deadline-exceeded', 'no progress in the stream', { step: 'relay', peer }));
+      settleBroken(
+        fail('deadline-exceeded', 'stream idle timeout exceeded', { step: 'relay', peer }),
+      );
     }, job.idleTimeoutMs);
     const onDrain = (): void => {
       timer.refresh();
       from.resume();
     };
-    const passOn = (bytes: Buffer): void => {
+    const forwardBytes = (bytes: Buffer): void => {
       if (!started) job.onFirst();
       started = true;
       job.onForward?.(bytes);
@@ -87,20 +94,25 @@
       job.onChunk();
       const forward = check.push(chunk);
       const fault = check.fault();
-      if (fault !== undefined) breakOff(faultError(fault, peer));
-      else if (forward.length > 0) passOn(forward);
+      if (fault !== undefined) settleBroken(faultError(fault, peer));
+      else if (forward.length > 0) forwardBytes(forward);
     });
     from.once('end', () => {
-      settle(verdictOf(check, started, peer));
+      settle(resultOf(check, started, peer));
     });
     from.once('error', (cause) => {
       const step = started ? 'last-byte' : 'first-byte';
-      breakOff(fail('backend-lost', 'connection lost in the stream', { step, peer, cause }));
+      settleBroken(
+        fail('backend-lost', 'connection error during the stream', { step, peer, cause }),
+      );
     });
     from.once('close', () => {
       if (from.readableEnded) return;
-      breakOff(
-        fail('backend-lost', 'connection closed in the stream', { step: 'last-byte', peer }),
+      settleBroken(
+        fail('backend-lost', 'connection closed before the end of the stream', {
+          step: 'last-byte',
+          peer,
+        }),
       );
     });
   });
--- a/src/app/requests/reply.ts
+++ b/src/app/requests/reply.ts
@@ -1,4 +1,4 @@
-/** Writes the end of a request to its caller: the only place that states an outcome. */
+/** Writes endings to callers. No other module writes an outcome. */
 
 import type { ServerResponse } from 'node:http';
 
@@ -13,25 +13,25 @@
 const CLIENT_ERRORS_FROM = 400;
 const SERVER_ERRORS_FROM = 500;
 
-/** Where an ending goes. */
+/** The response that an ending is written to. */
 export interface ReplyTarget {
   readonly id: RequestId;
   readonly res: ServerResponse;
-  /** Now, for `Retry-After`. */
+  /** Current wall-clock time, for `Retry-After`. */
   readonly epoch: EpochTime;
 }
 
-/** The `type` field of the published error object. */
-function typeOf(status: number): string {
+/** The `type` field of the error object in the body. */
+function errorTypeOf(status: number): string {
   if (status >= SERVER_ERRORS_FROM) return 'server_error';
   return status >= CLIENT_ERRORS_FROM ? 'invalid_request_error' : 'api_error';
 }
 
 function errorBody(error: StepError, outcome: Outcome, id: RequestId): string {
   const { code, step, message } = error;
-  const fields = { message, type: typeOf(statusOf(code)), param: null, code };
-  const own = { step, peer: error.peer ?? null, outcome: outcome.kind, request_id: id };
-  return JSON.stringify({ error: { ...fields, ...own } });
+  const fields = { message, type: errorTypeOf(statusOf(code)), param: null, code };
+  const extensions = { step, peer: error.peer ?? null, outcome: outcome.kind, request_id: id };
+  return JSON.stringify({ error: { ...fields, ...extensions } });
 }
 
 function retryAfter(retryAt: EpochTime | undefined, now: EpochTime): Record<string, string> {
@@ -60,8 +60,11 @@
   else sendStreamEnd(target, ending.answer);
 }
 
-/** A stream that broke: an error event, then a torn connection, never a clean end. */
-function tearStream(target: ReplyTarget, ending: FailedEnding): void {
+/**
+ * Ends a failed stream with an error event, then closes the connection, so that the caller never
+ * sees a proper end.
+ */
+function breakStream(target: ReplyTarget, ending: FailedEnding): void {
   const data = errorBody(ending.error, ending.outcome, target.id);
   target.res.write(`event: error\ndata: ${data}\n\n`);
   target.res.socket?.destroySoon();
@@ -70,10 +73,10 @@
 function sendError(target: ReplyTarget, ending: FailedEnding): void {
   const { res, id, epoch } = target;
   const body = errorBody(ending.error, ending.outcome, id);
-  const unread = res.req.complete ? {} : { connection: 'close' };
+  const closeHeader = res.req.complete ? {} : { connection: 'close' };
   res.writeHead(statusOf(ending.error.code), {
     ...retryAfter(ending.outcome.retryAt, epoch),
-    ...unread,
+    ...closeHeader,
     'content-type': 'application/json',
     'content-length': Buffer.byteLength(body),
     [HEADER.outcome]: ending.outcome.kind,
@@ -83,11 +86,11 @@
 }
 
 function sendFailed(target: ReplyTarget, ending: FailedEnding): void {
-  if (target.res.headersSent) tearStream(target, ending);
+  if (target.res.headersSent) breakStream(target, ending);
   else sendError(target, ending);
 }
 
-/** Writes an ending and gives the outcome that it states. */
+/** Writes an ending and returns the outcome that it states. */
 export function writeEnding(target: ReplyTarget, ending: Ending): Outcome {
   if (ending.kind === 'done') {
     if (!target.res.destroyed) sendDone(target, ending);
@@ -97,7 +100,7 @@
   return ending.outcome;
 }
 
-/** Starts a stream. Its outcome follows as a trailer, and as a comment before the end mark. */
+/** Writes the head of a streamed answer. The outcome follows as a trailer. */
 export function startStream(res: ServerResponse, id: RequestId, contentType: string): void {
   res.writeHead(200, {
     'content-type': contentType,
--- a/src/app/requests/request-parts.ts
+++ b/src/app/requests/request-parts.ts
@@ -1,4 +1,4 @@
-/** The parts of the request plane, as its calls use them. */
+/** The stateful parts of the request plane. */
 
 import type { Backends } from './backends';
 import type { Claims } from './claims';
@@ -6,7 +6,7 @@
 import type { GroupSelector } from './group-selector';
 import type { Strikes } from './strikes';
 
-/** The parts of the request plane that keep state. */
+/** The stateful parts of the request plane, shared by all calls. */
 export interface RequestParts {
   readonly backends: Backends;
   readonly claims: Claims;
--- a/src/app/requests/requests.ts
+++ b/src/app/requests/requests.ts
@@ -1,4 +1,7 @@
-/** The request plane of a daemon: callers' requests in, whole answers or honest refusals out. */
+/**
+ * The request plane of a daemon: answers callers' requests with a complete answer or an error that
+ * states whether the request ran.
+ */
 
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
@@ -32,8 +35,8 @@
   return { ...deps, settings, upstream, retryBudgets: createRetryBudgets(settings) };
 }
 
-/** Says how a request went, to its caller and to those who watch. */
-function conclude(ctx: RequestContext, exchange: Exchange, ending: Ending): void {
+/** Writes the ending to the caller, and records it in metrics, trace and log. */
+function finishRequest(ctx: RequestContext, exchange: Exchange, ending: Ending): void {
   const { id, res, span } = exchange;
   const outcome = writeEnding({ id, res, epoch: ctx.clock.epoch() }, ending);
   const code = ending.kind === 'failed' ? ending.error.code : 'ok';
@@ -46,19 +49,25 @@
   ctx.logger.info(message, { requestId: id, step, code, ...(peer !== undefined && { peer }) });
 }
 
-/** An answer that cannot be written, as with a header that Node refuses, is torn: never a clean end. */
-function concludeSafely(ctx: RequestContext, exchange: Exchange, ending: Ending): void {
+/**
+ * Finishes the request. If the answer cannot be written, as with a header that Node rejects, the
+ * connection is destroyed, so that the caller never sees a proper end.
+ */
+function tryFinishRequest(ctx: RequestContext, exchange: Exchange, ending: Ending): void {
   try {
-    conclude(ctx, exchange, ending);
+    finishRequest(ctx, exchange, ending);
   } catch (cause) {
     const detail = cause instanceof Error ? cause.message : 'unknown';
-    ctx.logger.error('answer could not be written', { requestId: exchange.id, detail });
+    ctx.logger.error('could not write the answer', { requestId: exchange.id, detail });
     exchange.res.destroy();
   }
 }
 
-/** Resolves when the caller has all of the answer, or is gone, or has not taken it in time. */
-function closed(res: ServerResponse, withinMs: number): Promise<void> {
+/**
+ * Resolves when the response has closed: sent completely, or the caller disconnected. Destroys it
+ * after `withinMs`.
+ */
+function waitForClose(res: ServerResponse, withinMs: number): Promise<void> {
   if (res.closed) return Promise.resolve();
   return new Promise((resolve) => {
     const timer = setTimeout(() => {
@@ -96,7 +105,7 @@
   };
 }
 
-/** Makes the request plane. Settings left out have the defaults of `settings.ts`. */
+/** Creates the request plane. Omitted settings have the defaults of `settings.ts`. */
 export function createRequests(deps: RequestDeps): RequestPart {
   const ctx = createContext(deps);
   const writer = createWriter(ctx);
@@ -105,29 +114,29 @@
   const entry: RequestPlane = { ctx, parts };
   let inFlight = 0;
   let isDraining = false;
-  let onIdle: (() => void)[] = [];
+  let drainResolvers: (() => void)[] = [];
 
-  const change = (by: number): void => {
+  const adjustInFlight = (by: number): void => {
     inFlight += by;
     ctx.metrics.gauge(METRIC.inFlight, inFlight);
     if (inFlight > 0) return;
-    onIdle.forEach((resolve) => {
+    drainResolvers.forEach((resolve) => {
       resolve();
     });
-    onIdle = [];
+    drainResolvers = [];
   };
 
   const serve = async (req: IncomingMessage, res: ServerResponse): Promise<void> => {
     const exchange = createExchange(ctx, req, res);
     if (isDraining) {
       res.setHeader('connection', 'close');
-      conclude(ctx, exchange, refuseDraining(ctx));
+      finishRequest(ctx, exchange, refuseDraining(ctx));
       return;
     }
-    change(1);
-    concludeSafely(ctx, exchange, await answer(entry, exchange));
-    await closed(res, ctx.settings.streamIdleTimeoutMs);
-    change(-1);
+    adjustInFlight(1);
+    tryFinishRequest(ctx, exchange, await answer(entry, exchange));
+    await waitForClose(res, ctx.settings.streamIdleTimeoutMs);
+    adjustInFlight(-1);
   };
 
   return {
@@ -139,7 +148,7 @@
       isDraining = true;
       return new Promise((resolve) => {
         if (inFlight === 0) resolve();
-        else onIdle.push(resolve);
+        else drainResolvers.push(resolve);
       });
     },
     start: () => {
--- a/src/app/requests/service-call.ts
+++ b/src/app/requests/service-call.ts
@@ -1,4 +1,4 @@
-/** A call of a plain service. */
+/** Handles calls of plain services. */
 
 import type { IncomingHttpHeaders, OutgoingHttpHeaders } from 'node:http';
 
@@ -23,7 +23,7 @@
 
 const MAX_REFUSAL_BYTES = 64 * 1024;
 const UNAVAILABLE = 503;
-/** Statuses whose answers have no body. */
+/** Statuses whose responses have no body. */
 const BODILESS: ReadonlySet<number> = new Set([204, 304]);
 const HOP_BY_HOP: ReadonlySet<string> = new Set([
   'connection',
@@ -39,46 +39,47 @@
   'transfer-encoding',
   'upgrade',
 ]);
-const KEPT_BACK: ReadonlySet<string> = new Set([
+/** End-to-end request headers that backend servers don't receive from the caller. */
+const STRIPPED_HEADERS: ReadonlySet<string> = new Set([
   'authorization',
   HEADER.idempotencyKey,
   HEADER.traceparent,
 ]);
 
-/** A call of a plain service that was read and checked. */
+/** A parsed and validated call of a plain service. */
 export interface ServiceCall extends Call {
   readonly spec: ServiceSpec;
 }
 
-/** Where one attempt goes, and what must hold when it is sent. */
-interface Sending {
+/** Destination of one attempt, and the guard checked when it is sent. */
+interface AttemptTarget {
   readonly peer: string;
   readonly id: AttemptId;
   readonly span: Span;
   readonly guard: SendGuard;
 }
 
-function passesOn(name: string): boolean {
+function isForwarded(name: string): boolean {
   return !HOP_BY_HOP.has(name) && !name.startsWith(OWN_HEADER_PREFIX);
 }
 
-function endToEnd(headers: IncomingHttpHeaders): OutgoingHttpHeaders {
-  return Object.fromEntries(Object.entries(headers).filter(([name]) => passesOn(name)));
+function endToEndHeaders(headers: IncomingHttpHeaders): OutgoingHttpHeaders {
+  return Object.fromEntries(Object.entries(headers).filter(([name]) => isForwarded(name)));
 }
 
-/** The key as the service sees it: no two organisations can have the same. */
+/** The idempotency key sent to the service, scoped so that organisations cannot collide. */
 export function scopedKey(call: Call): string {
-  const { idempotencyKey } = call.terms;
+  const { idempotencyKey } = call.options;
   return `${call.caller.organisation.id}:${idempotencyKey ?? call.exchange.id}`;
 }
 
 function serviceHeaders(call: ServiceCall, id: AttemptId, span: Span): OutgoingHttpHeaders {
-  const passed = Object.entries(endToEnd(call.exchange.req.headers));
+  const forwarded = Object.entries(endToEndHeaders(call.exchange.req.headers));
   return {
-    ...Object.fromEntries(passed.filter(([name]) => !KEPT_BACK.has(name))),
+    ...Object.fromEntries(forwarded.filter(([name]) => !STRIPPED_HEADERS.has(name))),
     'content-length': call.body.byteLength,
     [HEADER.attempt]: id,
-    [HEADER.deadline]: String(Math.floor(call.terms.deadlineAt)),
+    [HEADER.deadline]: String(Math.floor(call.options.deadlineAt)),
     [HEADER.idempotencyKey]: scopedKey(call),
     [HEADER.organisation]: call.caller.organisation.id,
     [HEADER.requestId]: call.exchange.id,
@@ -89,15 +90,18 @@
 function checkBeforeSend(
   ctx: RequestContext,
   call: ServiceCall,
-  { peer, guard }: Sending,
+  { peer, guard }: AttemptTarget,
 ): StepError | undefined {
-  if (ctx.clock.now() >= call.terms.deadline) {
-    return fail('deadline-exceeded', 'deadline passed', { step: 'send', peer });
+  if (ctx.clock.now() >= call.options.deadline) {
+    return fail('deadline-exceeded', 'the deadline passed before sending', { step: 'send', peer });
   }
   return guard.beforeSend();
 }
 
-/** An answer that only the end of the connection ends cannot be told from one cut short. */
+/**
+ * Whether the answer's framing shows its end. An answer that ends only with the connection cannot be
+ * distinguished from a truncated one.
+ */
 function hasLength(answered: Answered, method: string): boolean {
   const { headers, statusCode = 0 } = answered.res;
   if (method === 'HEAD' || BODILESS.has(statusCode)) return true;
@@ -119,23 +123,29 @@
   const body = await readBody(res, { maxBytes, signal, ...origin });
   if (body.isErr()) return attemptFailed('lost', body.error);
   if (isRefusal) {
-    return attemptFailed('refused', fail('backend-refused', 'service refused the call', origin));
+    return attemptFailed(
+      'refused',
+      fail('backend-refused', 'the backend server refused the call', origin),
+    );
   }
   if (!hasLength(answered, call.method)) {
-    return attemptFailed('bad-answer', fail('bad-answer', 'answer without a length', origin));
+    return attemptFailed(
+      'bad-answer',
+      fail('bad-answer', 'the answer has neither content-length nor transfer-encoding', origin),
+    );
   }
-  const headers = endToEnd(res.headers);
+  const headers = endToEndHeaders(res.headers);
   return { kind: 'done', ending: doneEnding({ kind: 'whole', status, headers, body: body.value }) };
 }
 
 async function sendOnce(
   ctx: RequestContext,
   call: ServiceCall,
-  sending: Sending,
+  target: AttemptTarget,
 ): Promise<AttemptResult> {
-  const { peer, id, span } = sending;
+  const { peer, id, span } = target;
   const { clock } = ctx;
-  const { deadline } = call.terms;
+  const { deadline } = call.options;
   const abort = createAbort({ clock, deadline, gone: call.exchange.gone, peer });
   const { signal } = abort.controller;
   const sent = await ctx.upstream.send({
@@ -144,9 +154,9 @@
     path: call.path,
     headers: serviceHeaders(call, id, span),
     body: call.body,
-    // Services echo no attempt id, so that a late answer on a shared connection could not be told.
+    // Services echo no attempt id, so a late answer on a shared connection could not be detected.
     ownConnection: true,
-    beforeSend: () => checkBeforeSend(ctx, call, sending),
+    beforeSend: () => checkBeforeSend(ctx, call, target),
     signal,
   });
   const result =
@@ -163,13 +173,13 @@
   ctx: RequestContext,
   backends: Backends,
   call: ServiceCall,
-  sending: Sending,
+  target: AttemptTarget,
 ): Promise<AttemptResult> {
-  const { peer, span } = sending;
+  const { peer, span } = target;
   span.set('peer', peer);
   const release = backends.acquire(peer);
   try {
-    const result = await sendOnce(ctx, call, sending);
+    const result = await sendOnce(ctx, call, target);
     if (result.kind === 'failed' && result.failure === 'not-sent') backends.markUnreachable(peer);
     span.end(result.kind === 'failed' ? result.error.code : undefined);
     return result;
@@ -184,26 +194,26 @@
   backends: Backends,
   tried: ReadonlySet<string>,
 ): Selection<string> {
-  const place = backends.pick(call.spec, tried);
-  if (place !== undefined) return { kind: 'place', key: place, destination: place };
-  const error = fail('overloaded', 'no backend server can take the call', { step: 'routing' });
+  const address = backends.pick(call.spec, tried);
+  if (address !== undefined) return { kind: 'place', key: address, destination: address };
+  const error = fail('overloaded', 'no backend server can accept the call', { step: 'routing' });
   const retryAt = later(ctx.clock.epoch(), ctx.settings.retryAfterMs);
   return { kind: 'none', failure: { error, exposure: 'none', retryAt } };
 }
 
-/** Sends the call to the service's backend servers until one gives a whole answer. */
+/** Sends the call to the service's backend servers until one returns a complete answer. */
 export function answerServiceCall(
   ctx: RequestContext,
   backends: Backends,
   call: ServiceCall,
   guard: SendGuard,
 ): Promise<Ending> {
-  const { spec, terms } = call;
-  const hasKey = terms.idempotencyKey !== undefined;
+  const { spec, options } = call;
+  const hasKey = options.idempotencyKey !== undefined;
   const plan: AttemptPlan<string> = {
     target: spec.id,
     guard,
-    repeatable: terms.repeatable || (spec.honoursIdempotencyKey && hasKey),
+    repeatable: options.repeatable || (spec.honoursIdempotencyKey && hasKey),
     pick: (tried) => pickBackend(ctx, call, backends, tried),
     attempt: (peer, id) => {
       const span = call.exchange.span.child('attempt');
--- a/src/app/requests/settings.ts
+++ b/src/app/requests/settings.ts
@@ -1,57 +1,60 @@
 /** Settings of the request plane. */
 
+/** Limits, timeouts and ratios of the request plane. */
 export interface RequestSettings {
-  /** Longest body taken from a caller, bytes. */
+  /** Maximum size of a caller's request body, bytes. */
   readonly maxBodyBytes: number;
-  /** Longest whole answer held in memory, bytes. */
+  /** Maximum size of an answer that is buffered in memory, bytes. */
   readonly maxAnswerBytes: number;
-  /** Longest frame of a stream held back until it is whole, bytes. */
+  /** Maximum size of a stream frame, which is buffered until complete, bytes. */
   readonly maxFrameBytes: number;
-  /** Longest time between two reads of a stream, on either side, milliseconds. */
+  /** Maximum time without progress in a stream, on either side, milliseconds. */
   readonly streamIdleTimeoutMs: number;
-  /** How long a connection to a backend server may take to be made, milliseconds. */
+  /** Timeout for connecting to a backend server, milliseconds. */
   readonly connectTimeoutMs: number;
-  /** Attempts of one request at most, the first included. */
+  /** Maximum attempts of one request, including the first. */
   readonly maxAttempts: number;
-  /** First delay before another attempt, milliseconds; doubles with each. */
+  /** Delay before the first retry, milliseconds; doubles with each retry. */
   readonly retryDelayMs: number;
+  /** Maximum delay before a retry, milliseconds. */
   readonly maxRetryDelayMs: number;
-  /** Further attempts per accepted request that a model or service may have on average. */
+  /** Average number of retries allowed per accepted request of a model or service. */
   readonly retryRatio: number;
-  /** Further attempts saved up at most, by model or service. */
+  /** Maximum number of unused retries kept in the budget of a model or service. */
   readonly retryBurst: number;
-  /** Requests admitted per place in the groups' batches; above 1, engines keep a short queue. */
+  /** Requests admitted per batch slot of the groups; above 1, engines keep a short queue. */
   readonly slotOvercommit: number;
-  /** When to come back if nothing better is known, milliseconds. */
+  /** `Retry-After` if no better estimate is known, milliseconds. */
   readonly retryAfterMs: number;
-  /** Commits a second that the table service takes from all daemons. */
+  /** Commits per second that the table service accepts from all daemons together. */
   readonly tableCommitsPerSecond: number;
-  /** Share of those commits that all daemons together may use for claims. */
+  /** Fraction of those commits that all daemons together may use for claims. */
   readonly claimShare: number;
-  /** Claims and records in one transaction at most. */
+  /** Maximum number of claims and records in one transaction. */
   readonly maxClaimBatch: number;
-  /** How long claims gather before they are committed together, milliseconds. */
+  /** How long the first claim of a batch waits for others to join, milliseconds. */
   readonly claimLingerMs: number;
-  /** How long a claim may wait for its commit, milliseconds; beyond it nothing is sent. */
+  /** How long a claim may wait for its commit, milliseconds. After that nothing is sent. */
   readonly claimTimeoutMs: number;
-  /** How long an answer waits for its record before it goes to the caller, milliseconds. */
+  /** How long an answer waits for its record before it is sent to the caller, milliseconds. */
   readonly recordTimeoutMs: number;
-  /** How long stopping waits for claims to be settled, milliseconds. */
+  /** How long `stop` waits for pending claims to be settled, milliseconds. */
   readonly settleTimeoutMs: number;
   /** How long a claim and its stored answer are kept, milliseconds. */
   readonly claimRetentionMs: number;
-  /** How long the mark of a released claim is kept, milliseconds. */
+  /** How long the row of a released claim is kept, milliseconds. */
   readonly releasedRetentionMs: number;
-  /** Largest answer kept in the claim's row, bytes; larger ones go to the object store. */
+  /** Maximum size of an answer stored in the claim's row, bytes. Larger ones go to the object store. */
   readonly maxRowAnswerBytes: number;
-  /** Mean time between two pages of the sweep of old claims, over all daemons, milliseconds. */
+  /** Mean interval between two pages of the expired-claim sweep over all daemons, milliseconds. */
   readonly sweepIntervalMs: number;
   /** How long a strike counts, milliseconds. */
   readonly strikeRetentionMs: number;
-  /** Strikes on different groups at which a request is refused. */
+  /** Number of strikes on different groups at which a request is refused. */
   readonly strikeLimit: number;
 }
 
+/** Default settings. */
 export const REQUEST_DEFAULTS: RequestSettings = {
   maxBodyBytes: 4 * 1024 * 1024,
   maxAnswerBytes: 8 * 1024 * 1024,
--- a/src/app/requests/sse.ts
+++ b/src/app/requests/sse.ts
@@ -1,7 +1,7 @@
 /**
- * Frames of a server-sent event stream, seen from outside: where a frame ends, and whether the
- * stream came to its proper end. Contents are not parsed; a chunk that ends with a frame, the usual
- * case, is passed on as it is.
+ * Framing of server-sent event streams: finds frame boundaries and verifies that the stream ends
+ * properly. Contents are not parsed. A chunk that ends with a frame, the usual case, is forwarded
+ * without copying.
  */
 
 const FRAME_END = Buffer.from('\n\n');
@@ -11,23 +11,23 @@
 const CLOSING_BRACKET = 0x5d;
 const LINE_FEED = 0x0a;
 const EMPTY: Buffer = Buffer.alloc(0);
-/** Long enough for the frame with the finish reason and a usage frame after it. */
+/** Enough to hold the frame with the finish reason and a usage frame after it. */
 const TAIL_BYTES = 4_096;
 const MAX_TAIL_BYTES = 4 * TAIL_BYTES;
-/** A finish reason that is a string. Within a JSON string the quotes would be escaped. */
+/** A finish reason that is a string. Inside a JSON string the quotes would be escaped. */
 const FINISH_REASON = /"finish_reason"\s*:\s*"/;
 
-/** Why a stream is not a whole answer. */
+/** Why a stream is not a complete answer. */
 export type StreamFault =
   'frame-too-long' | 'bytes-after-end' | 'misplaced-end' | 'no-end-mark' | 'no-finish-reason';
 
-/** Watches one stream. */
+/** Checks the framing of one stream. */
 export interface FrameCheck {
-  /** Takes what came in and gives what may be passed on: whole frames, never the end mark. */
+  /** Takes a received chunk and returns the bytes to forward: complete frames, never the end mark. */
   push(chunk: Buffer): Buffer;
-  /** The first fault seen so far. */
+  /** The first fault found so far. */
   fault(): StreamFault | undefined;
-  /** The verdict once the stream has ended: a fault, or the end mark to pass on. */
+  /** Called after the stream has ended. Returns a fault, or the end mark to forward. */
   finish(): StreamFault | Buffer;
 }
 
@@ -36,8 +36,8 @@
   return at >= 0 && data.compare(suffix, 0, suffix.length, at) === 0;
 }
 
-/** Length of the whole frames at the start of `data`. */
-function wholeFrames(data: Buffer): number {
+/** Length of the complete frames at the start of `data`. */
+function completeLength(data: Buffer): number {
   const last = data.length - 1;
   if (data[last] === LINE_FEED && data[last - 1] === LINE_FEED) return data.length;
   const at = data.lastIndexOf(FRAME_END);
@@ -46,19 +46,19 @@
 
 /** Whether `frames` ends with a frame that is the end mark. */
 function hasEndMark(frames: Buffer): boolean {
-  // Nearly all frames end otherwise, which one byte tells.
+  // Fast path: one byte rules out nearly all other frames.
   if (frames[frames.length - 3] !== CLOSING_BRACKET || !endsWith(frames, END_MARK)) return false;
   const before = frames.length - END_MARK.length - 1;
   return before < 0 || frames[before] === LINE_FEED;
 }
 
-/** Frames always start with a frame, so that the mark is at the start or after a line feed. */
+/** `frames` begins at a frame boundary, so a mark is at its start or follows a line feed. */
 function hasEndMarkInside(frames: Buffer): boolean {
   const at = frames.indexOf(MARK_TEXT);
   return at === 0 || (at > 0 && frames.includes(MARK_AT_LINE));
 }
 
-/** The latest chunks, with `TAIL_BYTES` in all or a little more. */
+/** The last chunks that together hold at least `TAIL_BYTES`. */
 function lastOf(chunks: readonly Buffer[]): Buffer[] {
   let bytes = 0;
   let from = chunks.length;
@@ -69,7 +69,7 @@
   return chunks.slice(from);
 }
 
-/** Starts watching a stream whose frames are at most `maxFrameBytes` long. */
+/** Creates the check of one stream whose frames have at most `maxFrameBytes`. */
 export function createFrameCheck(maxFrameBytes: number): FrameCheck {
   let partial: Buffer = EMPTY;
   let tail: Buffer[] = [];
@@ -77,8 +77,8 @@
   let ended = false;
   let fault: StreamFault | undefined;
 
-  /** Keeps the latest chunks, and drops old ones many at a time. */
-  const remember = (frames: Buffer): void => {
+  /** Keeps the latest chunks. Old ones are dropped in bulk to amortize the cost. */
+  const appendTail = (frames: Buffer): void => {
     tail.push(frames);
     tailBytes += frames.length;
     if (tailBytes < MAX_TAIL_BYTES) return;
@@ -86,23 +86,23 @@
     tailBytes = tail.reduce((sum, { length }) => sum + length, 0);
   };
 
-  const keepPartial = (rest: Buffer): void => {
-    partial = rest;
-    if (rest.length > maxFrameBytes) fault ??= 'frame-too-long';
+  const keepPartial = (remainder: Buffer): void => {
+    partial = remainder;
+    if (remainder.length > maxFrameBytes) fault ??= 'frame-too-long';
   };
 
   const push = (chunk: Buffer): Buffer => {
     if (ended) fault ??= 'bytes-after-end';
     if (fault !== undefined) return EMPTY;
     const data = partial.length === 0 ? chunk : Buffer.concat([partial, chunk]);
-    const length = wholeFrames(data);
+    const length = completeLength(data);
     keepPartial(length === data.length ? EMPTY : data.subarray(length));
     const frames = length === data.length ? data : data.subarray(0, length);
     ended = hasEndMark(frames);
     const forward = ended ? frames.subarray(0, frames.length - END_MARK.length) : frames;
     if (hasEndMarkInside(forward)) fault ??= 'misplaced-end';
     if (ended && partial.length > 0) fault ??= 'bytes-after-end';
-    if (forward.length > 0) remember(forward);
+    if (forward.length > 0) appendTail(forward);
     return fault === undefined ? forward : EMPTY;
   };
 
--- a/src/app/requests/stored-answer.ts
+++ b/src/app/requests/stored-answer.ts
@@ -1,4 +1,4 @@
-/** Stored answers: small ones in the claim's row, large ones in the object store. */
+/** Stores and replays answers: small ones in the claim's row, large ones in the object store. */
 
 import type { StoredAnswer, StoredBody } from '../../core/ledger/rows';
 import type { RequestContext } from './context';
@@ -6,16 +6,16 @@
 import { doneEnding, failedEnding } from './ending';
 import { fail } from '../../utils/errors';
 
-/** Headers of an answer that are stored with it. */
+/** Headers that are stored with an answer. */
 const STORED_HEADERS = ['content-type', 'content-encoding', 'location', 'etag'];
 
-function wholeOf(end: StreamEnd): BufferedAnswer | undefined {
+function toBuffered(end: StreamEnd): BufferedAnswer | undefined {
   if (end.captured === undefined) return undefined;
   const body = Buffer.concat([...end.captured, end.last]);
   return { kind: 'whole', status: 200, headers: { 'content-type': end.contentType }, body };
 }
 
-function headersOf({ headers }: BufferedAnswer): Record<string, string> {
+function storedHeadersOf({ headers }: BufferedAnswer): Record<string, string> {
   const kept = STORED_HEADERS.filter((name) => headers[name] !== undefined);
   return Object.fromEntries(kept.map((name) => [name, String(headers[name])]));
 }
@@ -32,16 +32,16 @@
   return put.isOk() ? { kind: 'object', key: objectKey } : { kind: 'none' };
 }
 
-/** Makes an answer ready to be kept in a row; a body that could not be stored is left out. */
+/** Converts an answer to its stored form. A body that could not be stored is omitted. */
 export async function storeAnswer(
   ctx: RequestContext,
   objectKey: string,
   ending: DoneEnding,
 ): Promise<StoredAnswer> {
-  const whole = ending.answer.kind === 'whole' ? ending.answer : wholeOf(ending.answer);
-  if (whole === undefined) return { status: 200, headers: {}, body: { kind: 'none' } };
-  const body = await storeBody(ctx, objectKey, whole.body);
-  return { status: whole.status, headers: headersOf(whole), body };
+  const answer = ending.answer.kind === 'whole' ? ending.answer : toBuffered(ending.answer);
+  if (answer === undefined) return { status: 200, headers: {}, body: { kind: 'none' } };
+  const body = await storeBody(ctx, objectKey, answer.body);
+  return { status: answer.status, headers: storedHeadersOf(answer), body };
 }
 
 type BodyReaders = {
@@ -57,7 +57,10 @@
   none: () => Promise.resolve(undefined),
 };
 
-/** The ending of a request whose answer was stored. It ran, whatever becomes of the answer. */
+/**
+ * Creates the ending of a request from its stored answer. The request did run, so a missing
+ * body yields an `exposed` failure, never `not-run`.
+ */
 export async function replayAnswer(ctx: RequestContext, stored: StoredAnswer): Promise<Ending> {
   const read = BODY_READERS[stored.body.kind] as (
     ctx: RequestContext,
@@ -67,6 +70,10 @@
   if (body !== undefined) {
     return doneEnding({ kind: 'whole', status: stored.status, headers: stored.headers, body });
   }
-  const error = fail('in-progress', 'ran before; its answer cannot be had', { step: 'claim' });
+  const error = fail(
+    'in-progress',
+    'the request with this idempotency key already ran, but its stored answer is unavailable',
+    { step: 'claim' },
+  );
   return failedEnding({ error, exposure: 'exposed' });
 }
--- a/src/app/requests/strikes.ts
+++ b/src/app/requests/strikes.ts
@@ -1,4 +1,7 @@
-/** Quarantine of crashing requests: the decisions of `core/retry`, shared with the peers by gossip. */
+/**
+ * Quarantine of requests that crash groups. The decisions are made in `core/retry`; strikes are shared
+ * with peers by gossip.
+ */
 
 import { filter } from 'rxjs';
 import type { Subscription } from 'rxjs';
@@ -45,6 +48,7 @@
 
 const entryValue = z.discriminatedUnion('kind', [strikeValue, clearValue]);
 
+/** What {@link createStrikes} needs. */
 export type StrikeDeps = Pick<
   RequestDeps,
   'clock' | 'random' | 'gossip' | 'groups' | 'metrics' | 'logger'
@@ -52,26 +56,30 @@
   readonly settings: Pick<RequestSettings, 'strikeLimit' | 'strikeRetentionMs'>;
 };
 
+/** Tracks which requests were running when groups were lost. */
 export interface Strikes {
   start(): void;
   stop(): void;
   suspicion(fingerprint: Fingerprint): Suspicion;
+  /** When the quarantine ends; undefined if the request is not quarantined. */
   quarantinedUntil(fingerprint: Fingerprint): EpochTime | undefined;
-  /** Of the groups, those to which a request under this suspicion may go. */
+  /** Filters `groups` to those that the request may be sent to under its current suspicion. */
   open(fingerprint: Fingerprint, groups: readonly RoutableGroup[]): readonly RoutableGroup[];
+  /** The run has been sent. */
   sent(run: Run): void;
-  /** The run is over; `whole` if it gave a whole answer. */
-  ended(run: Run, whole: boolean): void;
-  /** The run's connection broke. */
+  /** The run has ended; `isComplete` if it returned a complete answer. */
+  ended(run: Run, isComplete: boolean): void;
+  /** The connection of the run broke. */
   interrupted(attempt: AttemptId): void;
 }
 
+/** Creates the quarantine of a daemon. Peers' strikes are applied after `start`. */
 export function createStrikes(deps: StrikeDeps): Strikes {
   const { clock, gossip, groups, metrics, logger, settings } = deps;
   const { strikeLimit: limit, strikeRetentionMs: retentionMs } = settings;
   const state = createQuarantine({ limit, retentionMs });
   const domains = new Map<GroupId, DomainId>();
-  /** When a request was cleared; strikes from before do not count. */
+  /** When a request was cleared; earlier strikes do not count. */
   const cleared = new Map<Fingerprint, EpochTime>();
   let subscription: Subscription | undefined;
   let timer: NodeJS.Timeout | undefined;
@@ -87,74 +95,79 @@
   const publishNew = (strikes: readonly Strike[]): void => {
     strikes.forEach((strike) => {
       metrics.count(METRIC.strikes);
-      logger.warn('group lost while it ran a request', { step: 'quarantine', peer: strike.group });
+      logger.warn('group was lost while running a request', {
+        step: 'quarantine',
+        peer: strike.group,
+      });
       publish(strike);
     });
-    arm();
+    armTimer();
   };
 
-  /** A strike that ended when it began is taken back. */
-  const settle = (): void => {
+  /** Decides due strikes. Dropped ones are withdrawn by publishing `until` equal to `at`. */
+  const decideStrikes = (): void => {
     const { dropped } = decideDueStrikes(state, context());
-    const own = dropped.filter(({ isOwn }) => isOwn);
-    own.forEach((strike) => {
+    const ownStrikes = dropped.filter(({ isOwn }) => isOwn);
+    ownStrikes.forEach((strike) => {
       publish({ ...strike, until: strike.at });
     });
-    arm();
+    armTimer();
   };
 
-  const arm = (): void => {
+  const armTimer = (): void => {
     clearTimeout(timer);
     const at = nextDecisionAt(state);
-    if (at !== undefined) timer = setTimeout(settle, Math.max(1, at - clock.now())).unref();
+    if (at !== undefined) timer = setTimeout(decideStrikes, Math.max(1, at - clock.now())).unref();
   };
 
-  const takeClear = (fingerprint: Fingerprint, at: EpochTime): void => {
+  const applyClear = (fingerprint: Fingerprint, at: EpochTime): void => {
     cleared.set(fingerprint, at);
     clearStrikes(state, fingerprint);
   };
 
-  const takeStrike = (strike: Strike): void => {
+  const applyStrike = (strike: Strike): void => {
     if ((cleared.get(strike.fingerprint) ?? 0) >= strike.at) return;
     if (strike.until <= strike.at) dropStrike(state, strike);
     else onPeerStrike(state, strike, context());
-    arm();
+    armTimer();
   };
 
-  const take = ({ value }: GossipEntry): void => {
+  const applyEntry = ({ value }: GossipEntry): void => {
     const parsed = entryValue.safeParse(value);
     if (!parsed.success) return;
-    // The schema gives plain strings and numbers where the types have brands.
+    // The schema yields plain strings and numbers where the types are branded.
     const entry = parsed.data as unknown as
       (Strike & { readonly kind: 'strike' }) | (Strike & { readonly kind: 'clear' });
-    if (entry.kind === 'clear') takeClear(entry.fingerprint, entry.at);
-    else takeStrike(entry);
+    if (entry.kind === 'clear') applyClear(entry.fingerprint, entry.at);
+    else applyStrike(entry);
   };
 
-  const takeLost = (group: GroupId, domainDark: boolean): void => {
+  const onLost = (group: GroupId, domainDark: boolean): void => {
     const loss = { group, domain: domains.get(group), domainDark };
     domains.delete(group);
     publishNew(onGroupLost(state, loss, context()));
   };
 
-  const tellCleared = (fingerprint: Fingerprint): void => {
+  const publishClear = (fingerprint: Fingerprint): void => {
     const at = clock.epoch();
-    takeClear(fingerprint, at);
+    applyClear(fingerprint, at);
     const expiresAt = later(at, retentionMs);
     gossip.publish(TOPIC, `${fingerprint}/clear`, { kind: 'clear', fingerprint, at }, expiresAt);
   };
 
-  const remember = (known: readonly RoutableGroup[]): void => {
+  const recordDomains = (known: readonly RoutableGroup[]): void => {
     for (const { id, domain } of known) if (!domains.has(id)) domains.set(id, domain);
   };
 
   return {
     start: () => {
-      gossip.entries(TOPIC).forEach(take);
-      subscription = gossip.received.pipe(filter(({ topic }) => topic === TOPIC)).subscribe(take);
+      gossip.entries(TOPIC).forEach(applyEntry);
+      subscription = gossip.received
+        .pipe(filter(({ topic }) => topic === TOPIC))
+        .subscribe(applyEntry);
       subscription.add(
         groups.lost.subscribe(({ group, domainDark }) => {
-          takeLost(group, domainDark);
+          onLost(group, domainDark);
         }),
       );
     },
@@ -164,16 +177,16 @@
     },
     suspicion: (fingerprint) => suspicionOf(state, fingerprint, context()),
     quarantinedUntil: (fingerprint) => quarantinedUntil(state, fingerprint),
-    open: (fingerprint, known) => {
-      remember(known);
-      return allowedGroups(state, fingerprint, known, context());
+    open: (fingerprint, candidates) => {
+      recordDomains(candidates);
+      return allowedGroups(state, fingerprint, candidates, context());
     },
     sent: (run) => {
       onRunStart(state, run);
     },
-    ended: (run, whole) => {
+    ended: (run, isComplete) => {
       onRunEnd(state, run.attempt);
-      if (whole && run.suspect) tellCleared(run.fingerprint);
+      if (isComplete && run.suspect) publishClear(run.fingerprint);
     },
     interrupted: (attempt) => {
       publishNew(onRunInterrupted(state, attempt, context()));
--- a/src/app/requests/sweep.ts
+++ b/src/app/requests/sweep.ts
@@ -1,6 +1,6 @@
 /**
- * Removes claims whose retention has passed. Each daemon reads a page now and then, from a place of
- * its own; two that meet do no harm, since a row is deleted by its version.
+ * Removes claims whose retention has passed. Each daemon scans one page at a time, from a cursor of
+ * its own. Daemons at the same page don't conflict, since rows are deleted by version.
  */
 
 import { timer } from 'rxjs';
@@ -15,14 +15,15 @@
 import type { ClaimWriter } from './claim-writer';
 import type { RequestContext } from './context';
 
-/** Half of the time between two pages is fixed, and up to as much again is left to chance. */
-const MIN_SHARE = 0.5;
+/** The interval between two pages is jittered between 0.5 and 1.5 times its mean. */
+const MIN_INTERVAL_FACTOR = 0.5;
 const HEX_DIGITS = 16;
 
+/** Background removal of expired claims. */
 export interface Sweep {
   start(): void;
   stop(): void;
-  /** Reads one page and removes what has expired; the number of rows removed. */
+  /** Scans one page, removes its expired claims and returns the number of removed rows. */
   sweepPage(): Promise<number>;
 }
 
@@ -31,8 +32,8 @@
   readonly claim: ClaimRow;
 }
 
-/** A place among the claims, by chance: daemons are replaced too often to begin at the start. */
-function anyPlace(ctx: RequestContext): string {
+/** A random start cursor: daemons that are replaced often would never get past the first rows. */
+function randomCursor(ctx: RequestContext): string {
   const ids = Object.keys(ctx.config.current().organisations);
   const id = ids[Math.floor(ctx.random.next() * ids.length)] ?? '';
   const digits = Math.floor(ctx.random.next() * HEX_DIGITS).toString(HEX_DIGITS);
@@ -45,15 +46,16 @@
   { row, claim }: ExpiredRow,
 ): Promise<boolean> {
   const result = await writer.write({ key: row.key, version: row.version });
-  const isGone = result.kind === 'written';
-  if (isGone && claim.state === 'finished' && claim.answer.body.kind === 'object') {
+  const isDeleted = result.kind === 'written';
+  if (isDeleted && claim.state === 'finished' && claim.answer.body.kind === 'object') {
     await ctx.objects.remove(claim.answer.body.key);
   }
-  return isGone;
+  return isDeleted;
 }
 
+/** Creates the sweep. Pages are scheduled after `start`. */
 export function createSweep(ctx: RequestContext, writer: ClaimWriter): Sweep {
-  let place: string | undefined;
+  let cursor: string | undefined;
   let subscription: Subscription | undefined;
 
   const expiredOf = (row: Row): readonly ExpiredRow[] => {
@@ -64,9 +66,9 @@
 
   const sweepPage = async (): Promise<number> => {
     if (writer.isOverloaded()) return 0;
-    const page = await ctx.table.scan(CLAIM_PREFIX, place ?? anyPlace(ctx));
+    const page = await ctx.table.scan(CLAIM_PREFIX, cursor ?? randomCursor(ctx));
     if (page.isErr()) return 0;
-    place = page.value.after ?? CLAIM_PREFIX;
+    cursor = page.value.after ?? CLAIM_PREFIX;
     const expired = page.value.rows.flatMap(expiredOf);
     const removed = await Promise.all(expired.map((each) => remove(ctx, writer, each)));
     return removed.filter(Boolean).length;
@@ -74,7 +76,7 @@
 
   const schedule = (): void => {
     const everyMs = ctx.settings.sweepIntervalMs * Math.max(1, ctx.daemonCount?.() ?? 1);
-    const waitMs = everyMs * (MIN_SHARE + ctx.random.next());
+    const waitMs = everyMs * (MIN_INTERVAL_FACTOR + ctx.random.next());
     subscription = timer(waitMs).subscribe(() => void sweepPage().then(schedule));
   };
 
--- a/src/app/settings.ts
+++ b/src/app/settings.ts
@@ -1,61 +1,64 @@
-/** The settings of one daemon, checked and complete. The command line makes them. */
+/** Settings of a daemon, complete and validated. The command line creates them. */
 
 import type { DaemonId, ZoneId } from '../core/ids';
 
-/** Files of a certificate for the links between daemons. */
+/** Paths of the TLS files for the links between daemons. */
 export interface PeerTlsFiles {
   readonly certFile: string;
   readonly keyFile: string;
   readonly caFile: string;
 }
 
+/** Settings of one daemon. */
 export interface DaemonSettings {
   readonly id: DaemonId;
   readonly zone: ZoneId;
-  /** `host:port` for callers; port 0 takes a free one. */
+  /** `host:port` for callers; port 0 selects a free port. */
   readonly listen: string;
   /** `host:port` for operators. */
   readonly adminListen: string;
   /** `host:port` for other daemons. */
   readonly peerListen: string;
-  /** Peer addresses to join by, besides the instance list. */
+  /** Peer addresses to join through, in addition to the instance list. */
   readonly seeds: readonly string[];
-  /** Shared by all daemons of one system. */
+  /** Secret shared by all daemons of one system. */
   readonly peerSecret: string;
   readonly peerTls?: PeerTlsFiles;
   /** `host:port` of the platform's services. */
   readonly platform: string;
-  /** SHA-256 (hex) of a key with which the first configuration may be submitted. */
+  /** SHA-256 (hex) of the key that may submit the first configuration. */
   readonly bootstrapKeyHash?: string;
-  /** OTLP over HTTP, `http://host:port/v1/traces`; left out: no export. */
+  /** OTLP endpoint, `http://host:port/v1/traces`. If omitted, traces are not exported. */
   readonly otlpUrl?: string;
   readonly logLevel: 'debug' | 'info' | 'warn' | 'error';
+  /** Seed of the random number generator. */
   readonly seed: number;
-  /** Longest request body, bytes. */
+  /** Maximum size of a request body, bytes. */
   readonly maxBodyBytes: number;
-  /** Longest request header, bytes. */
+  /** Maximum size of the request headers, bytes. */
   readonly maxHeaderBytes: number;
-  /** Open connections of callers. */
+  /** Maximum number of open connections of callers. */
   readonly maxConnections: number;
-  /** How long the balancer may take to see that this daemon is not ready, milliseconds. */
+  /** How long the load balancer may take to notice that this daemon is not ready, milliseconds. */
   readonly drainWaitMs: number;
-  /** Longest wait for streams at a planned stop, milliseconds. */
+  /** Maximum wait for requests in flight during a graceful shutdown, milliseconds. */
   readonly drainLimitMs: number;
-  /** Transactions of claims a second that all daemons together may commit. */
+  /** Claim transactions per second that all daemons together may commit. */
   readonly claimCommitsPerSecond: number;
 }
 
-/** Where a started daemon listens. */
+/** Addresses that a started daemon listens on. */
 export interface DaemonAddresses {
   readonly callers: string;
   readonly admin: string;
   readonly peers: string;
 }
 
+/** A started daemon. */
 export interface RunningDaemon {
   readonly addresses: DaemonAddresses;
-  /** The planned stop: refuses new work, lets streams finish, hands back leases, stops. */
+  /** Shuts down gracefully: refuses new requests, lets streams finish, releases leases, stops. */
   drain(): Promise<void>;
-  /** Resolves once the planned stop is over, whoever asked for it. */
+  /** Resolves once the graceful shutdown is complete, whoever requested it. */
   readonly stopped: Promise<void>;
 }
--- a/src/app/shutdown.ts
+++ b/src/app/shutdown.ts
@@ -1,4 +1,4 @@
-/** The planned stop of a daemon: cuts off no request in flight, and hands back what it holds. */
+/** Graceful shutdown of a daemon: lets requests in flight finish and releases what it holds. */
 
 import type { ResultAsync } from 'neverthrow';
 
@@ -9,48 +9,55 @@
 import type { HttpListener } from './listen';
 import type { DaemonSettings } from './settings';
 
+/** What {@link createShutdown} needs. */
 export interface ShutdownDeps {
   readonly settings: Pick<DaemonSettings, 'drainWaitMs' | 'drainLimitMs'>;
   readonly parts: Parts;
-  /** Filled in as the daemon starts to listen. */
+  /** Filled in when the daemon starts listening. */
   readonly listeners: readonly HttpListener[];
   readonly logger: Logger;
+  /** Removes the daemon from the instance list. */
   readonly deregister: () => ResultAsync<unknown, StepError>;
   readonly flushTraces: () => Promise<void>;
 }
 
+/** The graceful shutdown of one daemon. */
 export interface Shutdown {
   isStopping(): boolean;
-  /** Stops; a second call joins the first. */
+  /** Shuts down. Further calls return the same promise. */
   readonly drain: () => Promise<void>;
+  /** Resolves once the shutdown is complete. */
   readonly stopped: Promise<void>;
 }
 
-async function within(work: Promise<void>, limitMs: number): Promise<boolean> {
+async function finishesWithin(work: Promise<void>, limitMs: number): Promise<boolean> {
   let timer: NodeJS.Timeout | undefined;
   const limit = new Promise<boolean>((resolve) => {
     timer = setTimeout(() => {
       resolve(false);
     }, limitMs);
   });
-  const inTime = await Promise.race([work.then(() => true), limit]);
+  const hasFinished = await Promise.race([work.then(() => true), limit]);
   clearTimeout(timer);
-  return inTime;
+  return hasFinished;
 }
 
-/** Unready, wait for the balancer, refuse new work, finish what runs, hand back, stop. */
-async function run({
+/**
+ * Fails readiness (see `isStopping`), waits for the load balancer to notice, refuses new requests,
+ * waits for those in flight up to `drainLimitMs`, then releases what the daemon holds and stops.
+ */
+async function shutDown({
   settings,
   parts,
-  listeners: listening,
+  listeners,
   logger,
   ...deps
 }: ShutdownDeps): Promise<void> {
   logger.info('stopping', { step: 'drain' });
-  // Roles move to the other daemons while the streams here finish.
+  // Announced first, so that roles move to other daemons while the streams here finish.
   parts.membership.leave();
   await pause(settings.drainWaitMs);
-  const finished = await within(parts.requests.drain(), settings.drainLimitMs);
+  const finished = await finishesWithin(parts.requests.drain(), settings.drainLimitMs);
   if (!finished) {
     logger.warn('requests were still in flight at the limit', {
       step: 'drain',
@@ -61,25 +68,26 @@
   await parts.requests.stop();
   await parts.config.stop();
   await parts.membership.stop();
-  const left = await deps.deregister();
-  if (left.isErr()) logger.warn('still in the instance list', { code: left.error.code });
-  if (!finished) for (const server of listening) server.destroyConnections();
-  await Promise.all(listening.map((server) => server.close()));
+  const deregistered = await deps.deregister();
+  if (deregistered.isErr())
+    logger.warn('could not deregister from the instance list', { code: deregistered.error.code });
+  if (!finished) for (const server of listeners) server.destroyConnections();
+  await Promise.all(listeners.map((server) => server.close()));
   await deps.flushTraces();
   logger.info('stopped', { step: 'drain' });
 }
 
-/** Prepares the planned stop. */
+/** Prepares the graceful shutdown. Nothing happens until `drain` is called. */
 export function createShutdown(deps: ShutdownDeps): Shutdown {
   let running: Promise<void> | undefined;
-  let end: (() => void) | undefined;
+  let resolveStopped: (() => void) | undefined;
   const stopped = new Promise<void>((resolve) => {
-    end = resolve;
+    resolveStopped = resolve;
   });
   return {
     isStopping: () => running !== undefined,
     drain: () => {
-      running ??= run(deps).finally(() => end?.());
+      running ??= shutDown(deps).finally(() => resolveStopped?.());
       return running;
     },
     stopped,
--- a/tests/requests-model.test.ts
+++ b/tests/requests-model.test.ts
@@ -46,14 +46,18 @@
     const { url } = await setUp([answerNormally]);
     const seen = await sendChat(url, { stream: true });
     expect(seen.text).toBe(frame('hello ') + frame('world', 'stop') + END_MARK);
-    expect(seen).toMatchObject({ status: 200, clean: true });
+    expect(seen).toMatchObject({ status: 200, isComplete: true });
     expect(seen.trailers['nutmegstack-outcome']).toBe('done');
   });
 
   it('passes an answer on that is not streamed', async () => {
     const { url } = await setUp([answerNormally]);
     const seen = await sendChat(url);
-    expect(seen).toMatchObject({ status: 200, clean: true, text: completionBody('hello world') });
+    expect(seen).toMatchObject({
+      status: 200,
+      isComplete: true,
+      text: completionBody('hello world'),
+    });
     expect(seen.headers['nutmegstack-outcome']).toBe('done');
   });
 
@@ -61,7 +65,7 @@
     for (const bad of [refuse, breakConnection]) {
       const setup = await setUp([bad], [bad], [answerNormally]);
       const seen = await sendChat(setup.url, { stream: true });
-      expect(seen).toMatchObject({ status: 200, clean: true });
+      expect(seen).toMatchObject({ status: 200, isComplete: true });
     }
   });
 
--- a/tests/requests-streams.test.ts
+++ b/tests/requests-streams.test.ts
@@ -99,7 +99,7 @@
     expect((await sendChat(url)).status).toBe(503);
     goOn.next(undefined);
     const [seen] = await Promise.all([open, drained]);
-    expect(seen).toMatchObject({ status: 200, clean: true });
+    expect(seen).toMatchObject({ status: 200, isComplete: true });
     expect(seen.text).toContain('[DONE]');
     expect(requests.inFlight()).toBe(0);
   });
--- a/tests/requests-waiting.test.ts
+++ b/tests/requests-waiting.test.ts
@@ -36,7 +36,7 @@
       },
     });
     const seen = await sendChat(url, { max_tokens: 8 });
-    expect(seen).toMatchObject({ status: 200, clean: true });
+    expect(seen).toMatchObject({ status: 200, isComplete: true });
     expect(engine.calls).toHaveLength(1);
   });
 
--- a/tests/support/processes.ts
+++ b/tests/support/processes.ts
@@ -1,4 +1,4 @@
-/** Starts the bundled programs as processes of their own, and brings faults about in them. */
+/** Starts the bundled programs as child processes and injects faults into them. */
 
 import { spawn } from 'node:child_process';
 import type { ChildProcess } from 'node:child_process';
@@ -7,13 +7,15 @@
 
 const readyLine = z.looseObject({ ready: z.literal(true) });
 
-/** A program that has said it is ready. */
+/** A started program that has reported that it is ready. */
 export interface RunningProgram {
   readonly ready: Record<string, unknown>;
   readonly child: ChildProcess;
-  /** Lines written so far to standard output, after the ready line, and to standard error. */
+  /** Lines written so far to standard error, and to standard output apart from the ready line. */
   readonly lines: readonly string[];
+  /** SIGSTOP. */
   suspend(): void;
+  /** SIGCONT. */
   resume(): void;
   /** SIGKILL. */
   kill(): Promise<void>;
@@ -26,7 +28,7 @@
   return new Promise((resolve) => child.once('exit', resolve));
 }
 
-/** Runs `dist/{program}.cjs` and waits for its ready line. */
+/** Starts `dist/{program}.cjs` and waits for its ready line. Rejects if it exits before that. */
 export function run(
   program: string,
   args: readonly string[],
@@ -43,7 +45,7 @@
     void exited.then((code) => {
       reject(
         new Error(
-          `${program} ended with ${String(code)} before it was ready:\n${lines.join('\n')}`,
+          `${program} exited with code ${String(code)} before it was ready:\n${lines.join('\n')}`,
         ),
       );
     });
@@ -81,17 +83,20 @@
   }
 }
 
-/** Waits until `probe` gives something, asking again at once after each answer; for asynchronous facts. */
+/**
+ * Polls until `probe` resolves to a value other than undefined. Throws after `limitMs`, with `what`
+ * in the message.
+ */
 export async function until<T>(
   probe: () => Promise<T | undefined>,
   what: string,
   limitMs = 30_000,
 ): Promise<T> {
-  const givenUpAt = Date.now() + limitMs;
+  const deadline = Date.now() + limitMs;
   for (;;) {
     const found = await probe();
     if (found !== undefined) return found;
-    if (Date.now() > givenUpAt) throw new Error(`gave up waiting: ${what}`);
+    if (Date.now() > deadline) throw new Error(`timed out waiting: ${what}`);
     await new Promise((resolve) => setTimeout(resolve, 20));
   }
 }
--- a/tests/support/reaper.ts
+++ b/tests/support/reaper.ts
@@ -1,4 +1,4 @@
-/** Ends the processes of a test with the test, also where that is killed. */
+/** Kills the child processes of a test when the test process ends, even if it is killed. */
 
 import { spawn } from 'node:child_process';
 import type { ChildProcess } from 'node:child_process';
@@ -9,7 +9,7 @@
   const known = reapers.get(program);
   if (known) return known;
   const args = ['tests/support/reaper-process.mjs', program];
-  // A process group of its own: an interrupt from the terminal ends the test, and not its reaper.
+  // Own process group, so that an interrupt from the terminal ends the test but not its reaper.
   const reaper = spawn(process.execPath, args, {
     stdio: ['pipe', 'ignore', 'inherit'],
     detached: true,
@@ -19,7 +19,10 @@
   return reaper;
 }
 
-/** `child` runs `program`, which is part of its command line. */
+/**
+ * Registers a child process with the reaper. `program` must occur in its command line, by which the
+ * reaper recognizes it.
+ */
 export function endWithTest(child: ChildProcess, program: string): ChildProcess {
   if (child.pid !== undefined) reaperOf(program).stdin?.write(`${child.pid}\n`);
   return child;
--- a/tests/support/requests-engine.ts
+++ b/tests/support/requests-engine.ts
@@ -1,49 +1,56 @@
-/** A scripted engine: each call is answered by the next script, or by a whole answer. */
+/** A scripted engine: the next script answers each call; without scripts it answers normally. */
 
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Server } from 'node:http';
 
 import { listen } from './requests-fixture';
 
+/** A request that the engine received. */
 export interface EngineCall {
   readonly req: IncomingMessage;
   readonly res: ServerResponse;
   readonly body: Record<string, unknown>;
 }
 
+/** Answers one call. */
 export type Script = (call: EngineCall) => void | Promise<void>;
 
+/** A running scripted engine and the calls that it received. */
 export interface ScriptedEngine {
   readonly address: string;
   readonly calls: EngineCall[];
-  /** Scripts for the calls to come; the last one stays. */
+  /** Scripts for the next calls. The last one is kept for all further calls. */
   scripts: Script[];
   readonly close: () => Promise<void>;
 }
 
-/** The headers that a proper engine echoes. */
+/** Returns the headers that an engine must echo. */
 export function echoedHeaders(req: IncomingMessage): Record<string, string> {
   const names = ['nutmegstack-group', 'nutmegstack-epoch', 'nutmegstack-attempt'];
   return Object.fromEntries(names.map((name) => [name, String(req.headers[name])]));
 }
 
+/** Returns a stream frame with one choice. */
 export function frame(content: string, finish: string | null = null): string {
   const choices = [{ index: 0, delta: { content }, finish_reason: finish }];
   return `data: ${JSON.stringify({ choices })}\n\n`;
 }
 
+/** The frame that ends a stream. */
 export const END_MARK = 'data: [DONE]\n\n';
 
+/** Writes the head of a streamed answer. */
 export function startSse({ req, res }: EngineCall): void {
   res.writeHead(200, { ...echoedHeaders(req), 'content-type': 'text/event-stream' });
 }
 
+/** Returns the body of a complete chat completion. */
 export function completionBody(content: string): string {
   const message = { role: 'assistant', content };
   return JSON.stringify({ choices: [{ index: 0, message, finish_reason: 'stop' }] });
 }
 
-/** Answers as an engine should. */
+/** Answers correctly, with a stream if requested. */
 export const answerNormally: Script = (call) => {
   const { req, res, body } = call;
   if (body.stream !== true) {
@@ -57,13 +64,13 @@
   res.end(END_MARK);
 };
 
-/** Refuses, and says that it did not run. */
+/** Refuses the request and states that it did not run. */
 export const refuse: Script = ({ req, res }) => {
   res.writeHead(503, { ...echoedHeaders(req), 'nutmegstack-refused': 'true' });
   res.end('{}');
 };
 
-/** Breaks the connection without an answer. */
+/** Closes the connection without an answer. */
 export const breakConnection: Script = ({ res }) => {
   res.destroy();
 };
@@ -75,6 +82,7 @@
   return (text === '' ? {} : JSON.parse(text)) as Record<string, unknown>;
 }
 
+/** Starts a scripted engine. */
 export async function createEngine(...scripts: Script[]): Promise<ScriptedEngine> {
   const calls: EngineCall[] = [];
   const state = { scripts };
@@ -89,6 +97,7 @@
   return engine;
 }
 
+/** Closes a server and its connections. */
 export async function closeServer(server: Server): Promise<void> {
   server.closeAllConnections();
   await new Promise((resolve) => server.close(resolve));
--- a/tests/support/requests-fixture.ts
+++ b/tests/support/requests-fixture.ts
@@ -1,4 +1,4 @@
-/** A request plane over fakes: everything around it that a test may want to bend. */
+/** Runs a request plane on fakes of everything around it, which tests can replace. */
 
 import { createHash } from 'node:crypto';
 import { createServer } from 'node:http';
@@ -20,6 +20,7 @@
 import type { Metrics, Span, Tracer } from '../../src/ports/telemetry';
 import { fail } from '../../src/utils/errors';
 
+/** API keys of two organisations and of an operator. */
 export const KEYS = { armor: 'key-of-armor', umurage: 'key-of-umurage', operator: 'key-of-op' };
 export const MODEL = 'pharmacy';
 export const SERVICE = 'ledger';
@@ -39,6 +40,7 @@
   } as unknown as Organisation;
 }
 
+/** Returns a configuration with two organisations; only `armor` has the service. */
 export function testConfig(service: Partial<ServiceSpec> = {}): Config {
   const caller = { role: 'caller', class: 'counter' };
   const ledger = {
@@ -67,7 +69,7 @@
   } as unknown as Config;
 }
 
-/** A server on a free port of the loopback address. */
+/** Starts a server on a free loopback port. */
 export async function listen(
   handler: RequestListener,
 ): Promise<{ server: Server; address: string }> {
@@ -76,6 +78,7 @@
   return { server, address: `127.0.0.1:${(server.address() as AddressInfo).port}` };
 }
 
+/** Returns a routable group of the model. */
 export function testGroup(
   id: string,
   address: string,
@@ -85,7 +88,7 @@
   return { ...base, routableUntil: Infinity as MonoTime, ...fields } as unknown as RoutableGroup;
 }
 
-/** Groups that a test sets, and the evidence that came back. */
+/** Groups set by the test, and the evidence reported on them. */
 export interface FakeGroups extends GroupView {
   groups: readonly RoutableGroup[];
   readonly evidence: GroupEvidence[];
@@ -125,6 +128,7 @@
 const down = (): ReturnType<Table['commit']> =>
   errAsync(fail('store-unavailable', 'down', { step: 'table' }));
 
+/** A table that is never available. */
 export const DOWN_TABLE: Table = {
   read: () => down() as never,
   scan: () => down() as never,
@@ -182,7 +186,7 @@
   readonly backend: string;
 }
 
-/** What a request plane with one plain service needs; for daemons that are processes. */
+/** Dependencies of a request plane with one plain service, for daemons that run as processes. */
 export function createDaemonDeps({ id, table, backend }: DaemonOptions): RequestDeps {
   const config = new BehaviorSubject(testConfig({ backends: [backend] }));
   return {
@@ -200,6 +204,7 @@
   };
 }
 
+/** A running request plane. */
 export interface Fixture {
   readonly url: string;
   readonly requests: ReturnType<typeof createRequests>;
@@ -209,7 +214,7 @@
   readonly close: () => Promise<void>;
 }
 
-/** A daemon's request plane on a port of its own. */
+/** Starts a daemon's request plane on its own port. */
 export async function createFixture(
   deps: Partial<RequestDeps> & { readonly groups?: FakeGroups; readonly initial?: Config } = {},
 ): Promise<Fixture> {
--- a/tests/support/system.ts
+++ b/tests/support/system.ts
@@ -1,4 +1,4 @@
-/** A whole system of separate processes on loopback: platform, engines, service, daemons. */
+/** Starts a complete system as separate processes: platform, engines, service, daemons. */
 
 import { createHash } from 'node:crypto';
 import * as z from 'zod';
@@ -31,7 +31,7 @@
 
 export interface SystemOptions {
   readonly daemons?: number;
-  /** Members of each domain. */
+  /** Number of members of each failure domain. */
   readonly domains?: readonly number[];
   readonly engineArgs?: readonly string[];
   readonly serviceArgs?: readonly string[];
@@ -48,7 +48,7 @@
   stop(): Promise<void>;
 }
 
-/** A port that was free a moment ago. */
+/** Returns a port that was free at the time of the call. */
 export async function freePort(): Promise<number> {
   const [port] = await freePorts(1);
   return port ?? 0;
@@ -71,7 +71,7 @@
   return { process, domain, members: memberList.parse(process.ready.members) };
 }
 
-/** Starts all of it; nothing is configured yet. */
+/** Starts all processes. No configuration is submitted yet. */
 export async function startSystem(opts: SystemOptions = {}): Promise<System> {
   const { daemons = 3, domains = [4] } = opts;
   const platformProcess = await run('platform', ['--listen', '127.0.0.1:0']);
@@ -124,7 +124,7 @@
   };
 }
 
-/** A configuration of one model and one service for two organisations. */
+/** Returns a configuration of one model and one service for two organisations. */
 export function documentFor(system: System, replicas = 1, members = 4): object {
   return {
     templates: {
@@ -150,7 +150,7 @@
   };
 }
 
-/** Submits a document to a daemon, as an operator would. */
+/** Submits a document to a daemon with the operator's key. */
 export function submit(
   daemon: DaemonProcess,
   document: object,
@@ -166,7 +166,7 @@
   });
 }
 
-/** Sends a chat completion to a daemon. */
+/** Sends a chat completion request to a daemon. */
 export function chat(daemon: DaemonProcess, body: object, headers: object = {}): Promise<Response> {
   return fetch(`http://${daemon.callers}/v1/chat/completions`, {
     method: 'POST',
@@ -179,7 +179,7 @@
   });
 }
 
-/** Waits until every daemon answers a chat completion: the groups have formed. */
+/** Waits until every daemon answers a chat completion, which means that the groups have formed. */
 export async function untilServing(system: System): Promise<void> {
   for (const daemon of system.daemons) {
     await until(
@@ -194,7 +194,7 @@
   }
 }
 
-/** The metrics of a daemon, as an operator of the platform reads them. */
+/** Reads the metrics of a daemon, by default with the platform operator's key. */
 export async function readMetrics(admin: string, key = OPERATOR_KEY): Promise<string> {
   const headers = { authorization: `Bearer ${key}` };
   return (await fetch(`http://${admin}/metrics`, { headers })).text();
