--- a/src/app/requests/entry.ts
+++ b/src/app/requests/entry.ts
@@ -42,7 +42,7 @@
   readonly parts: RequestParts;
 }
 
-type Route = (entry: RequestPlane, exchange: Exchange, caller: Caller) => Promise<Ending>;
+type Route = (plane: RequestPlane, exchange: Exchange, caller: Caller) => Promise<Ending>;
 
 function pathOf(req: IncomingMessage): string {
   return (req.url ?? '/').split('?', 1)[0] ?? '/';
@@ -87,16 +87,16 @@
 }
 
 async function routeModel(
-  entry: RequestPlane,
+  plane: RequestPlane,
   exchange: Exchange,
   caller: Caller,
 ): Promise<Ending> {
   const path = pathOf(exchange.req) as ModelPath;
-  const call = await readCall(entry, exchange, caller, path, true);
+  const call = await readCall(plane, exchange, caller, path, true);
   if (call.isErr()) return refusedEnding(call.error);
   const body = readModelBody(path, call.value.body);
   if (body.isErr()) return refusedEnding(body.error);
-  const { ctx, parts } = entry;
+  const { ctx, parts } = plane;
   if (body.value.stream && exchange.req.httpVersion === '1.0') {
     const message =
       'streaming requires HTTP/1.1: HTTP/1.0 cannot distinguish the end from a broken connection';
@@ -133,20 +133,20 @@
 }
 
 async function routeService(
-  entry: RequestPlane,
+  plane: RequestPlane,
   exchange: Exchange,
   caller: Caller,
   servicePath: ServicePath,
 ): Promise<Ending> {
   const spec = caller.organisation.services
     .filter((id) => id === servicePath.service)
-    .map((id) => entry.ctx.config.current().services[id])[0];
+    .map((id) => plane.ctx.config.current().services[id])[0];
   if (spec === undefined) return notFound();
   const repeatable = isRepeatable(spec, exchange.req.method ?? 'GET', servicePath.path);
   const path = servicePath.path + servicePath.query;
-  const call = await readCall(entry, exchange, caller, path, repeatable);
+  const call = await readCall(plane, exchange, caller, path, repeatable);
   if (call.isErr()) return refusedEnding(call.error);
-  const { ctx, parts } = entry;
+  const { ctx, parts } = plane;
   const serviceCall: ServiceCall = { ...call.value, spec };
   return admitAndRun(ctx, parts, {
     call: serviceCall,
@@ -170,7 +170,7 @@
   const path = pathOf(req);
   const servicePath = readServicePath(req.url ?? '/');
   if (servicePath !== undefined) {
-    return ok((entry, exchange, caller) => routeService(entry, exchange, caller, servicePath));
+    return ok((plane, exchange, caller) => routeService(plane, exchange, caller, servicePath));
   }
   const methods = Object.hasOwn(ROUTES, path) ? ROUTES[path] : undefined;
   if (methods === undefined)
@@ -208,14 +208,14 @@
 }
 
 /** Handles any request. Never rejects: an unexpected error becomes an `internal` ending. */
-export async function answer(entry: RequestPlane, exchange: Exchange): Promise<Ending> {
-  const { ctx } = entry;
+export async function answer(plane: RequestPlane, exchange: Exchange): Promise<Ending> {
+  const { ctx } = plane;
   try {
     const caller = authenticate(ctx.config.current(), exchange.req.headers.authorization);
     if (caller.isErr()) return refusedEnding(caller.error);
     const route = findRoute(exchange.req);
     if (route.isErr()) return refusedEnding(route.error);
-    return await route.value(entry, exchange, caller.value);
+    return await route.value(plane, exchange, caller.value);
   } catch (cause) {
     const error = fail('internal', 'unexpected error while handling the request', {
       step: 'entry',
--- a/src/app/requests/requests.ts
+++ b/src/app/requests/requests.ts
@@ -111,7 +111,7 @@
   const writer = createWriter(ctx);
   const parts = createParts(ctx, writer);
   const sweep = createSweep(ctx, writer);
-  const entry: RequestPlane = { ctx, parts };
+  const plane: RequestPlane = { ctx, parts };
   let inFlight = 0;
   let isDraining = false;
   let drainResolvers: (() => void)[] = [];
@@ -134,7 +134,7 @@
       return;
     }
     adjustInFlight(1);
-    tryFinishRequest(ctx, exchange, await answer(entry, exchange));
+    tryFinishRequest(ctx, exchange, await answer(plane, exchange));
     await waitForClose(res, ctx.settings.streamIdleTimeoutMs);
     adjustInFlight(-1);
   };
--- a/tests/isolation.test.ts
+++ b/tests/isolation.test.ts
@@ -1,3 +1,5 @@
+/** Isolation between organisations, and secrecy of prompts and keys in logs, traces and metrics. */
+
 import { afterAll, beforeAll, describe, expect, it } from 'vitest';
 
 import { listen, readJson, sendJson } from '../stand-ins/shared/server';
@@ -20,7 +22,7 @@
 const OWN_OPERATOR_KEY = 'operator-key-of-one-organisation';
 const OWN_MODEL = 'narrative';
 const OWN_SERVICE = 'billing';
-/** Long enough for several cached blocks. */
+/** Spans several blocks of the prefix cache. */
 const PROMPT = 'the matter of the northern depot, which no other firm may know of; '.repeat(8);
 const SECRET_WORDS = ['northern depot', CALLER_KEY, OTHER_KEY, OPERATOR_KEY, 'reserve line 17'];
 const IDEMPOTENCY_KEY = 'reservation-17';
@@ -30,7 +32,7 @@
 let collector: Listening;
 const exported: string[] = [];
 
-/** A model and a service that rennes alone has. */
+/** Returns a configuration with a model and a service that only `rennes` has. */
 function documentWithSecrets(): object {
   const document = documentFor(system, 1, 2) as {
     templates: { depot: { models: Record<string, object>; services: string[] } };
@@ -72,7 +74,7 @@
   return { status: res.status, body: await res.text() };
 }
 
-async function ask(key: string, body: object = {}): Promise<Response> {
+async function sendPrompt(key: string, body: object = {}): Promise<Response> {
   const messages = [{ role: 'user', content: PROMPT }];
   return chat(daemon(), { messages, ...body }, { authorization: `Bearer ${key}` });
 }
@@ -82,7 +84,7 @@
   return { status: res.status, code: error.code };
 }
 
-/** Prefixes that engines say they have stored, all members together. */
+/** Returns the number of cached prefixes that all engine members report. */
 async function storedPrefixes(): Promise<number> {
   const members = system.engines.flatMap((engine) => engine.members);
   let stored = 0;
@@ -93,7 +95,10 @@
   return stored;
 }
 
-/** The same, once the engines tell of more than `known`; they do so late. */
+/**
+ * Returns that number once it exceeds `known`, and undefined before. Engines report stored prefixes
+ * with a delay.
+ */
 async function storedBeyond(known: number): Promise<number | undefined> {
   const stored = await storedPrefixes();
   return stored > known ? stored : undefined;
@@ -120,8 +125,8 @@
   await collector.close();
 });
 
-describe('an organisation sees nothing of another', () => {
-  it('by an idempotency key: each has its own, with its own answer', async () => {
+describe('an organisation cannot observe another', () => {
+  it('through idempotency keys: the same key is separate, with its own answer', async () => {
     const first = await reserve(CALLER_KEY, '{"line":"reserve line 17"}');
     const other = await reserve(OTHER_KEY, '{"line":"something else"}');
     const again = await reserve(CALLER_KEY, '{"line":"reserve line 17"}');
@@ -130,19 +135,22 @@
     expect(again.body).toBe(first.body);
   });
 
-  it('by the prefix cache: the same prompt of another finds nothing cached', async () => {
+  it('through the prefix cache: the same prompt of another organisation is not a cache hit', async () => {
     const before = await storedPrefixes();
-    await (await ask(CALLER_KEY)).text();
+    await (await sendPrompt(CALLER_KEY)).text();
     const afterOwn = await until(() => storedBeyond(before), 'the prompt is cached');
-    await (await ask(CALLER_KEY)).text();
-    await (await ask(OTHER_KEY)).text();
-    const afterOther = await until(() => storedBeyond(afterOwn), 'it is cached for the other');
+    await (await sendPrompt(CALLER_KEY)).text();
+    await (await sendPrompt(OTHER_KEY)).text();
+    const afterOther = await until(
+      () => storedBeyond(afterOwn),
+      'it is cached for the other organisation',
+    );
     expect(afterOther - afterOwn).toBe(afterOwn - before);
   });
 
-  it('by the names of models: one it does not have looks like one that is not there', async () => {
-    const foreign = await errorOf(await ask(OTHER_KEY, { model: OWN_MODEL }));
-    const missing = await errorOf(await ask(OTHER_KEY, { model: 'no-such-model' }));
+  it('through model names: a model of another organisation looks like a missing one', async () => {
+    const foreign = await errorOf(await sendPrompt(OTHER_KEY, { model: OWN_MODEL }));
+    const missing = await errorOf(await sendPrompt(OTHER_KEY, { model: 'no-such-model' }));
     expect(foreign).toEqual(missing);
     const res = await fetch(`http://${daemon().callers}/v1/models`, {
       headers: { authorization: `Bearer ${OTHER_KEY}` },
@@ -150,7 +158,7 @@
     expect(await res.text()).not.toContain(OWN_MODEL);
   });
 
-  it('by the names of services: one it does not have looks like one that is not there', async () => {
+  it('through service names: a service of another organisation looks like a missing one', async () => {
     const call = async (service: string) => {
       const res = await fetch(`http://${daemon().callers}/services/${service}/list`, {
         headers: { authorization: `Bearer ${OTHER_KEY}` },
@@ -160,7 +168,7 @@
     expect(await call(OWN_SERVICE)).toEqual(await call('no-such-service'));
   });
 
-  it('by the administration: its operator reads neither status nor configuration of another', async () => {
+  it('through the admin API: its operator reads neither status nor configuration of another', async () => {
     for (const path of ['config', 'status']) {
       const res = await fetch(`http://${daemon().admin}/admin/v1/${path}`, {
         headers: { authorization: `Bearer ${OWN_OPERATOR_KEY}` },
@@ -171,8 +179,8 @@
   });
 });
 
-describe('the totals that name organisations', () => {
-  it('are read by operators of the platform alone', async () => {
+describe('metrics that name organisations', () => {
+  it('are readable only by operators of the platform', async () => {
     const [member] = system.engines.flatMap((engine) => engine.members);
     const crash = JSON.stringify({ crash: true });
     await fetch(`http://${member?.address ?? ''}/faults`, { method: 'POST', body: crash });
@@ -191,14 +199,14 @@
   });
 });
 
-describe('what operators see of a request', () => {
-  it('has no prompt, body or key in a log line', () => {
+describe('what operators can see of a request', () => {
+  it('contains no prompt, body or key in log lines', () => {
     const lines = system.daemons.flatMap(({ process }) => process.lines).join('\n');
     expect(lines.length).toBeGreaterThan(0);
     for (const word of SECRET_WORDS) expect(lines).not.toContain(word);
   });
 
-  it('has no prompt, body or key in a trace', async () => {
+  it('contains no prompt, body or key in traces', async () => {
     const spans = await until(() => {
       const all = exported.join('\n');
       return Promise.resolve(all.includes('"attempt"') ? all : undefined);
--- a/tests/quarantine-requests.test.ts
+++ b/tests/quarantine-requests.test.ts
@@ -1,4 +1,4 @@
-/** A request that crashes engines, sent again and again through a daemon. */
+/** A request that crashes engines, submitted repeatedly. */
 
 import { afterEach, expect, it } from 'vitest';
 
@@ -14,7 +14,7 @@
   for (const cleanup of cleanups.splice(0)) await cleanup();
 });
 
-it('takes two groups down at most, then is refused everywhere, and others are served', async () => {
+it('a crashing request takes down at most two groups, then every daemon refuses it and serves others', async () => {
   const groups = fakeGroups();
   const crashed: string[] = [];
   const crashOn =
@@ -45,7 +45,7 @@
   expect(again.status).toBe(422);
   expect(errorOf(again)).toMatchObject({ code: 'quarantined', outcome: 'not-run' });
 
-  // A daemon that starts now hears of it from its peers.
+  // A daemon that starts later receives the strikes by gossip.
   const other = await createFixture({ groups, gossip });
   cleanups.push(other.close);
   expect(errorOf(await sendChat(other.url, { messages }))).toMatchObject({ outcome: 'not-run' });
--- a/tests/reaper.test.ts
+++ b/tests/reaper.test.ts
@@ -1,3 +1,5 @@
+/** Child processes of a test must not survive it, even if the test is killed. */
+
 import { spawn } from 'node:child_process';
 import type { ChildProcess } from 'node:child_process';
 import { build } from 'esbuild';
@@ -16,7 +18,7 @@
   rmSync(dir, { recursive: true });
 });
 
-/** A test that starts a process which never ends by itself, and prints its id. */
+/** Source of a test that starts a process which never exits by itself, and prints its pid. */
 const TEST = `
   import { spawn } from 'node:child_process';
   import { endWithTest } from './tests/support/reaper';
@@ -43,17 +45,17 @@
   return { test, pid };
 }
 
-const runs = (pid: number): boolean => existsSync(`/proc/${pid}`);
+const isRunning = (pid: number): boolean => existsSync(`/proc/${pid}`);
 
-describe('processes that a test started', () => {
-  it.each(['SIGKILL', 'SIGINT'] as const)('end with it when it is ended by %s', async (signal) => {
+describe('child processes of a test', () => {
+  it.each(['SIGKILL', 'SIGINT'] as const)('are killed when the test ends by %s', async (signal) => {
     const { test, pid } = await startTest();
-    // The reaper hears of the process.
+    // Lets the reaper read the pid.
     await pause(300);
-    expect(runs(pid)).toBe(true);
+    expect(isRunning(pid)).toBe(true);
     test.kill(signal);
-    const giveUpAt = performance.now() + LIMIT_MS;
-    while (runs(pid) && performance.now() < giveUpAt) await pause(20);
-    expect(runs(pid)).toBe(false);
+    const deadline = performance.now() + LIMIT_MS;
+    while (isRunning(pid) && performance.now() < deadline) await pause(20);
+    expect(isRunning(pid)).toBe(false);
   });
 });
--- a/tests/requests-entry.test.ts
+++ b/tests/requests-entry.test.ts
@@ -1,4 +1,4 @@
-/** What comes in at the callers' address, and what is refused there. */
+/** Validation at the callers' address: invalid requests are refused before anything is sent. */
 
 import { afterAll, beforeAll, describe, expect, it } from 'vitest';
 
@@ -33,12 +33,12 @@
 
 const REFUSALS: readonly Refusal[] = [
   {
-    what: 'a wrong key',
+    what: 'an unknown API key',
     headers: { authorization: 'Bearer no' },
     status: 401,
     code: 'unauthorized',
   },
-  { what: 'no key', headers: { authorization: '' }, status: 401, code: 'unauthorized' },
+  { what: 'a missing API key', headers: { authorization: '' }, status: 401, code: 'unauthorized' },
   {
     what: "an operator's key",
     headers: { authorization: `Bearer ${KEYS.operator}` },
@@ -52,7 +52,7 @@
     status: 400,
     code: 'bad-request',
   },
-  { what: 'a body too long', body: 'x'.repeat(1_001), status: 413, code: 'body-too-large' },
+  { what: 'a body over the limit', body: 'x'.repeat(1_001), status: 413, code: 'body-too-large' },
   {
     what: 'an unknown model',
     body: chatBody({ model: 'x' }),
@@ -60,33 +60,33 @@
     code: 'model-not-found',
   },
   {
-    what: 'an inherited name as model',
+    what: 'a model named like an inherited property',
     body: chatBody({ model: 'constructor' }),
     status: 404,
     code: 'model-not-found',
   },
   { what: 'an unknown path', path: '/v2/chat', status: 404, code: 'not-found' },
-  { what: 'another method', path: '/v1/models', status: 405, code: 'method-not-allowed' },
+  { what: 'an unsupported method', path: '/v1/models', status: 405, code: 'method-not-allowed' },
   {
-    what: 'a deadline that is no instant',
+    what: 'a malformed deadline',
     headers: { 'nutmegstack-deadline': 'soon' },
     status: 400,
     code: 'bad-request',
   },
   {
-    what: 'a deadline that has passed',
+    what: 'an expired deadline',
     headers: { 'nutmegstack-deadline': '5' },
     status: 504,
     code: 'deadline-exceeded',
   },
   {
-    what: 'an unclear repeatable mark',
+    what: 'an invalid repeatable header',
     headers: { 'nutmegstack-repeatable': 'maybe' },
     status: 400,
     code: 'bad-request',
   },
   {
-    what: 'an idempotency key too long',
+    what: 'an idempotency key over the limit',
     headers: { 'idempotency-key': 'k'.repeat(256) },
     status: 400,
     code: 'bad-request',
@@ -94,27 +94,31 @@
 ];
 
 describe('entry', () => {
-  it.each(REFUSALS)('refuses $what with $status, not run', async (refusal) => {
+  it.each(REFUSALS)('refuses $what with status $status and outcome not-run', async (refusal) => {
     const { body = chatBody(), headers = {}, path = '/v1/chat/completions' } = refusal;
-    const seen = await send(fixture.url + path, { body, headers });
-    expect(seen.status).toBe(refusal.status);
-    expect(errorOf(seen)).toMatchObject({ code: refusal.code, outcome: 'not-run', step: 'entry' });
-    expect(seen.headers['nutmegstack-outcome']).toBe('not-run');
+    const response = await send(fixture.url + path, { body, headers });
+    expect(response.status).toBe(refusal.status);
+    expect(errorOf(response)).toMatchObject({
+      code: refusal.code,
+      outcome: 'not-run',
+      step: 'entry',
+    });
+    expect(response.headers['nutmegstack-outcome']).toBe('not-run');
     expect(engine.calls).toHaveLength(0);
   });
 
   it("lists the models of the caller's organisation", async () => {
-    const seen = await send(`${fixture.url}/v1/models`, { method: 'GET' });
-    expect(JSON.parse(seen.text)).toMatchObject({ object: 'list', data: [{ id: 'pharmacy' }] });
+    const response = await send(`${fixture.url}/v1/models`, { method: 'GET' });
+    expect(JSON.parse(response.text)).toMatchObject({ object: 'list', data: [{ id: 'pharmacy' }] });
   });
 
-  it('refuses at once while draining, and says when to come back', async () => {
+  it('refuses with Retry-After while draining', async () => {
     const other = await createFixture();
     await other.requests.drain();
-    const seen = await sendChat(other.url);
-    expect(seen.status).toBe(503);
-    expect(errorOf(seen)).toMatchObject({ code: 'draining', outcome: 'not-run' });
-    expect(seen.headers['retry-after']).toBeDefined();
+    const response = await sendChat(other.url);
+    expect(response.status).toBe(503);
+    expect(errorOf(response)).toMatchObject({ code: 'draining', outcome: 'not-run' });
+    expect(response.headers['retry-after']).toBeDefined();
     await other.close();
   });
 });
--- a/tests/requests-model.test.ts
+++ b/tests/requests-model.test.ts
@@ -1,4 +1,4 @@
-/** Model calls: whole answers, and honest ends where there is none. */
+/** Model calls: complete answers, and accurate outcomes where there is none. */
 
 import { firstValueFrom, Subject } from 'rxjs';
 import { afterEach, describe, expect, it } from 'vitest';
@@ -29,7 +29,7 @@
   readonly engines: readonly ScriptedEngine[];
 }
 
-/** A request plane before one engine per list of scripts. */
+/** Starts a request plane with one engine per list of scripts. */
 async function setUp(...scripts: Script[][]): Promise<Setup> {
   const engines = await Promise.all(scripts.map((list) => createEngine(...list)));
   const groups = fakeGroups(engines.map((engine, i) => testGroup(`g${i}`, engine.address)));
@@ -42,57 +42,57 @@
   setup.engines.reduce((sum, engine) => sum + engine.calls.length, 0);
 
 describe('model calls', () => {
-  it('passes a stream on whole, with the outcome as a trailer', async () => {
+  it('relays a complete stream, with the outcome as a trailer', async () => {
     const { url } = await setUp([answerNormally]);
-    const seen = await sendChat(url, { stream: true });
-    expect(seen.text).toBe(frame('hello ') + frame('world', 'stop') + END_MARK);
-    expect(seen).toMatchObject({ status: 200, isComplete: true });
-    expect(seen.trailers['nutmegstack-outcome']).toBe('done');
+    const response = await sendChat(url, { stream: true });
+    expect(response.text).toBe(frame('hello ') + frame('world', 'stop') + END_MARK);
+    expect(response).toMatchObject({ status: 200, isComplete: true });
+    expect(response.trailers['nutmegstack-outcome']).toBe('done');
   });
 
-  it('passes an answer on that is not streamed', async () => {
+  it('relays an answer that is not streamed', async () => {
     const { url } = await setUp([answerNormally]);
-    const seen = await sendChat(url);
-    expect(seen).toMatchObject({
+    const response = await sendChat(url);
+    expect(response).toMatchObject({
       status: 200,
       isComplete: true,
       text: completionBody('hello world'),
     });
-    expect(seen.headers['nutmegstack-outcome']).toBe('done');
+    expect(response.headers['nutmegstack-outcome']).toBe('done');
   });
 
-  it('tries another group when one cannot be reached, refuses or breaks before the first byte', async () => {
+  it('tries another group when one refuses or disconnects before the first byte', async () => {
     for (const bad of [refuse, breakConnection]) {
       const setup = await setUp([bad], [bad], [answerNormally]);
-      const seen = await sendChat(setup.url, { stream: true });
-      expect(seen).toMatchObject({ status: 200, isComplete: true });
+      const response = await sendChat(setup.url, { stream: true });
+      expect(response).toMatchObject({ status: 200, isComplete: true });
     }
   });
 
-  it('says not-run when every group refused, and when to come back', async () => {
+  it('reports not-run with Retry-After when every group refused', async () => {
     const { url } = await setUp([refuse], [refuse]);
-    const seen = await sendChat(url);
-    expect(seen.headers['nutmegstack-outcome']).toBe('not-run');
-    expect(Number(seen.headers['retry-after'])).toBeGreaterThan(0);
+    const response = await sendChat(url);
+    expect(response.headers['nutmegstack-outcome']).toBe('not-run');
+    expect(Number(response.headers['retry-after'])).toBeGreaterThan(0);
   });
 
-  it('says unknown when the only attempt was sent and lost', async () => {
+  it('reports unknown when the only attempt was sent and lost', async () => {
     const { url } = await setUp([breakConnection]);
-    const seen = await sendChat(url);
-    expect(seen.headers['nutmegstack-outcome']).toBe('unknown');
-    expect(errorOf(seen)).toMatchObject({ code: 'backend-lost', step: 'first-byte' });
+    const response = await sendChat(url);
+    expect(response.headers['nutmegstack-outcome']).toBe('unknown');
+    expect(errorOf(response)).toMatchObject({ code: 'backend-lost', step: 'first-byte' });
   });
 
-  it('never sends a call again that is not repeatable once a byte left', async () => {
+  it('never retries a non-repeatable call after any byte was sent', async () => {
     const setup = await setUp([breakConnection], [breakConnection]);
     const headers = { 'nutmegstack-repeatable': 'false' };
-    const seen = await sendChat(setup.url, {}, { headers });
-    expect(seen.headers['nutmegstack-outcome']).toBe('unknown');
+    const response = await sendChat(setup.url, {}, { headers });
+    expect(response.headers['nutmegstack-outcome']).toBe('unknown');
     expect(callsOf(setup)).toBe(1);
   });
 
   const broken: Record<string, Script> = {
-    'torn in the middle': (call) => {
+    'interrupted in the middle': (call) => {
       startSse(call);
       call.res.write(frame('hello '), () => call.res.destroy());
     },
@@ -111,24 +111,24 @@
   };
 
   it.each(Object.entries(broken))(
-    'ends a stream %s with an error event and no clean end',
+    'ends a stream %s with an error event and without the end mark',
     async (_, script) => {
       const { url } = await setUp([
         async (call) => {
           await script(call);
         },
       ]);
-      const seen = await sendChat(url, { stream: true });
-      expect(seen.text).not.toContain('[DONE]');
-      if (seen.status === 200) {
-        expect(seen.isComplete).toBe(false);
-        expect(seen.text).toContain('event: error');
+      const response = await sendChat(url, { stream: true });
+      expect(response.text).not.toContain('[DONE]');
+      if (response.status === 200) {
+        expect(response.isComplete).toBe(false);
+        expect(response.text).toContain('event: error');
       }
-      expect(seen.text).toContain('"outcome":"unknown"');
+      expect(response.text).toContain('"outcome":"unknown"');
     },
   );
 
-  it('takes no answer that is for another attempt, group or epoch', async () => {
+  it('rejects an answer for another attempt, group or epoch', async () => {
     for (const name of ['nutmegstack-attempt', 'nutmegstack-group', 'nutmegstack-epoch']) {
       const { url } = await setUp([
         ({ req, res }) => {
@@ -136,21 +136,21 @@
           res.end(completionBody('not yours'));
         },
       ]);
-      const seen = await sendChat(url);
-      expect(seen.text).not.toContain('not yours');
-      expect(seen.headers['nutmegstack-outcome']).toBe('unknown');
+      const response = await sendChat(url);
+      expect(response.text).not.toContain('not yours');
+      expect(response.headers['nutmegstack-outcome']).toBe('unknown');
     }
   });
 
-  it('stops the engine when the caller goes away', async () => {
-    const left = new Subject<undefined>();
-    const gone = firstValueFrom(left);
+  it('closes the connection to the engine when the caller disconnects', async () => {
+    const disconnects = new Subject<undefined>();
+    const disconnected = firstValueFrom(disconnects);
     const { url } = await setUp([
       (call) => {
         startSse(call);
         call.res.write(frame('hello '));
         call.res.once('close', () => {
-          left.next(undefined);
+          disconnects.next(undefined);
         });
       },
     ]);
@@ -163,6 +163,6 @@
     });
     await res.body?.getReader().read();
     controller.abort();
-    await gone;
+    await disconnected;
   });
 });
--- a/tests/requests-service.test.ts
+++ b/tests/requests-service.test.ts
@@ -1,4 +1,4 @@
-/** Calls of plain services: what goes through, what is sent again and what never is. */
+/** Calls of plain services: forwarding, and which calls are retried. */
 
 import { afterEach, describe, expect, it } from 'vitest';
 
@@ -14,7 +14,7 @@
   for (const cleanup of cleanups.splice(0)) await cleanup();
 });
 
-const answerPlain: Script = ({ req, res }) => {
+const echoRequest: Script = ({ req, res }) => {
   res.setHeader('content-type', 'application/json');
   res.end(JSON.stringify({ path: req.url, method: req.method }));
 };
@@ -35,24 +35,24 @@
   setup.backends.reduce((sum, each) => sum + each.calls.length, 0);
 
 describe('service calls', () => {
-  it('go through with path, query, method and body, and without the key', async () => {
-    const { url, backends } = await setUp([answerPlain]);
-    const seen = await send(`${url}/services/ledger/stock/7?depot=b`, { body: '{"n":1}' });
-    expect(JSON.parse(seen.text)).toEqual({ path: '/stock/7?depot=b', method: 'POST' });
-    expect(seen.headers['nutmegstack-outcome']).toBe('done');
-    const got = backends[0]?.calls[0];
-    expect(got?.body).toEqual({ n: 1 });
-    expect(JSON.stringify(got?.req.headers)).not.toContain(KEYS.armor);
+  it('are forwarded with path, query, method and body, without the API key', async () => {
+    const { url, backends } = await setUp([echoRequest]);
+    const response = await send(`${url}/services/ledger/stock/7?depot=b`, { body: '{"n":1}' });
+    expect(JSON.parse(response.text)).toEqual({ path: '/stock/7?depot=b', method: 'POST' });
+    expect(response.headers['nutmegstack-outcome']).toBe('done');
+    const received = backends[0]?.calls[0];
+    expect(received?.body).toEqual({ n: 1 });
+    expect(JSON.stringify(received?.req.headers)).not.toContain(KEYS.armor);
   });
 
-  it('are not sent again by default once a byte left', async () => {
+  it('are by default not retried after any byte was sent', async () => {
     const setup = await setUp([breakConnection], [breakConnection]);
-    const seen = await send(`${setup.url}/services/ledger/reserve`, { body: '{}' });
-    expect(seen.headers['nutmegstack-outcome']).toBe('unknown');
+    const response = await send(`${setup.url}/services/ledger/reserve`, { body: '{}' });
+    expect(response.headers['nutmegstack-outcome']).toBe('unknown');
     expect(callsOf(setup)).toBe(1);
   });
 
-  it('are sent again where method, path or header make them repeatable', async () => {
+  it('are retried if method, path or header make them repeatable', async () => {
     const calls = [
       { path: 'stock', options: { method: 'GET' } },
       { path: 'look/7', options: { body: '{}' } },
@@ -60,25 +60,25 @@
     ];
     for (const { path, options } of calls) {
       let ran = 0;
-      const tearFirst: Script = (call) => {
+      const breakFirst: Script = (call) => {
         ran += 1;
-        return (ran === 1 ? breakConnection : answerPlain)(call);
+        return (ran === 1 ? breakConnection : echoRequest)(call);
       };
-      const setup = await setUp([tearFirst], [tearFirst]);
-      const seen = await send(`${setup.url}/services/ledger/${path}`, options);
-      expect(seen.status).toBe(200);
+      const setup = await setUp([breakFirst], [breakFirst]);
+      const response = await send(`${setup.url}/services/ledger/${path}`, options);
+      expect(response.status).toBe(200);
     }
   });
 
-  it('are sent elsewhere when a backend server refused them, even if not repeatable', async () => {
-    const setup = await setUp([refuse], [answerPlain]);
+  it('are sent to another backend server after a refusal, even if not repeatable', async () => {
+    const setup = await setUp([refuse], [echoRequest]);
     for (let i = 0; i < 4; i += 1) {
-      const seen = await send(`${setup.url}/services/ledger/reserve`, { body: '{}' });
-      expect(seen.status).toBe(200);
+      const response = await send(`${setup.url}/services/ledger/reserve`, { body: '{}' });
+      expect(response.status).toBe(200);
     }
   });
 
-  it('cannot pass for a repeatable path by dot segments or a longer name', async () => {
+  it('do not match a repeatable path through dot segments or a longer name', async () => {
     const setup = await setUp([breakConnection], [breakConnection]);
     const dots = await send(`${setup.url}/services/ledger/look/%2e%2E/reserve`, { body: '{}' });
     expect(dots).toMatchObject({ status: 404 });
@@ -86,23 +86,23 @@
     expect(callsOf(setup)).toBe(1);
   });
 
-  it('are unknown to an organisation that does not have the service', async () => {
-    const setup = await setUp([answerPlain]);
+  it('are not found by an organisation that does not have the service', async () => {
+    const setup = await setUp([echoRequest]);
     const headers = { authorization: `Bearer ${KEYS.umurage}` };
-    const seen = await send(`${setup.url}/services/ledger/stock`, { method: 'GET', headers });
-    expect(seen.status).toBe(404);
-    expect(errorOf(seen)).toMatchObject({ code: 'not-found', outcome: 'not-run' });
+    const response = await send(`${setup.url}/services/ledger/stock`, { method: 'GET', headers });
+    expect(response.status).toBe(404);
+    expect(errorOf(response)).toMatchObject({ code: 'not-found', outcome: 'not-run' });
     expect(callsOf(setup)).toBe(0);
   });
 
-  it('end as unknown when the answer is cut short', async () => {
+  it('have the outcome unknown when the answer is truncated', async () => {
     const { url } = await setUp([
       ({ res }) => {
         res.writeHead(200, { 'content-length': 100 });
         res.write('half', () => res.destroy());
       },
     ]);
-    const seen = await send(`${url}/services/ledger/reserve`, { body: '{}' });
-    expect(errorOf(seen)).toMatchObject({ code: 'backend-lost', outcome: 'unknown' });
+    const response = await send(`${url}/services/ledger/reserve`, { body: '{}' });
+    expect(errorOf(response)).toMatchObject({ code: 'backend-lost', outcome: 'unknown' });
   });
 });
--- a/tests/requests-streams.test.ts
+++ b/tests/requests-streams.test.ts
@@ -1,4 +1,4 @@
-/** Streams beside each other: slow callers, crossed and late answers, reused connections. */
+/** Concurrent streams: backpressure of slow callers, draining, and late answers on reused connections. */
 
 import { createServer } from 'node:net';
 import type { AddressInfo, Socket } from 'node:net';
@@ -29,7 +29,7 @@
 const FRAME = frame('x'.repeat(64 * 1024));
 const FRAMES = 400;
 
-/** Writes frames as fast as they are taken. */
+/** Writes frames as fast as backpressure allows. */
 async function flood({ res }: EngineCall, onWritten: (bytes: number) => void): Promise<void> {
   res.setMaxListeners(0);
   for (let i = 0; i < FRAMES; i += 1) {
@@ -39,7 +39,7 @@
   res.end(frame('', 'stop') + END_MARK);
 }
 
-/** Asks for a stream and reads nothing of it. */
+/** Requests a stream without reading it. */
 function openStream(url: string): Promise<IncomingMessage> {
   return new Promise((resolve, reject) => {
     const headers = { authorization: `Bearer ${KEYS.armor}` };
@@ -51,7 +51,7 @@
 }
 
 describe('streams', () => {
-  it('a slow caller holds back its own stream alone, and gets it whole in the end', async () => {
+  it('a slow caller delays only its own stream and eventually receives all of it', async () => {
     let written = 0;
     const script: Script = async (call) => {
       if (call.body.user !== 'slow') return answerNormally(call);
@@ -76,11 +76,11 @@
     expect(slow.complete).toBe(true);
   });
 
-  it('are all finished before draining ends, while new requests are refused', async () => {
-    const goOn = new Subject<undefined>();
+  it('finish before draining ends, while new requests are refused', async () => {
+    const finish = new Subject<undefined>();
     const started = new Subject<undefined>();
     const engine = await createEngine(async (call) => {
-      const awaited = firstValueFrom(goOn);
+      const awaited = firstValueFrom(finish);
       startSse(call);
       call.res.write(frame('hello '), () => {
         started.next(undefined);
@@ -91,23 +91,23 @@
     const groups = fakeGroups([testGroup('g0', engine.address)]);
     const { url, requests, close } = await createFixture({ groups });
     cleanups.push(close, engine.close);
-    const begun = firstValueFrom(started);
+    const firstFrameSent = firstValueFrom(started);
     const open = sendChat(url, { stream: true });
-    await begun;
+    await firstFrameSent;
     expect(requests.inFlight()).toBe(1);
     const drained = requests.drain();
     expect((await sendChat(url)).status).toBe(503);
-    goOn.next(undefined);
-    const [seen] = await Promise.all([open, drained]);
-    expect(seen).toMatchObject({ status: 200, isComplete: true });
-    expect(seen.text).toContain('[DONE]');
+    finish.next(undefined);
+    const [response] = await Promise.all([open, drained]);
+    expect(response).toMatchObject({ status: 200, isComplete: true });
+    expect(response.text).toContain('[DONE]');
     expect(requests.inFlight()).toBe(0);
   });
 
-  it('takes no late second answer on a connection that is used again', async () => {
+  it('a late second answer on a reused connection is not taken as the next answer', async () => {
     const sockets = new Set<Socket>();
     const attempts: string[] = [];
-    /** Answers each request twice: the second copy is there when the next request comes. */
+    // Answers each request twice, so that the second copy arrives with the next request.
     const server = createServer((socket) => {
       sockets.add(socket);
       let text = '';
@@ -116,14 +116,14 @@
         text += chunk.toString();
         if (!text.includes('"messages"') || !text.endsWith('}')) return;
         const attempt = /nutmegstack-attempt: (\S+)/i.exec(text)?.[1] ?? '';
-        const asked = /"content":"([^"]*)"/.exec(text)?.[1] ?? '';
+        const question = /"content":"([^"]*)"/.exec(text)?.[1] ?? '';
         text = '';
         attempts.push(attempt);
-        const body = completionBody(asked);
+        const body = completionBody(question);
         const head = `HTTP/1.1 200 OK\r\nnutmegstack-group: g0\r\nnutmegstack-epoch: 1\r\n`;
-        const more = `nutmegstack-attempt: ${attempt}\r\ncontent-length: ${body.length}\r\n\r\n`;
-        socket.write(head + more + body);
-        setTimeout(() => socket.write(head + more + body), 5);
+        const tail = `nutmegstack-attempt: ${attempt}\r\ncontent-length: ${body.length}\r\n\r\n`;
+        socket.write(head + tail + body);
+        setTimeout(() => socket.write(head + tail + body), 5);
       });
     });
     await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
@@ -136,9 +136,9 @@
     });
     for (let i = 0; i < 30; i += 1) {
       const content = `question ${i}`;
-      const seen = await sendChat(fixture.url, { messages: [{ role: 'user', content }] });
-      if (seen.status === 200) expect(seen.text).toBe(completionBody(content));
-      else expect(seen.headers['nutmegstack-outcome']).toBe('unknown');
+      const response = await sendChat(fixture.url, { messages: [{ role: 'user', content }] });
+      if (response.status === 200) expect(response.text).toBe(completionBody(content));
+      else expect(response.headers['nutmegstack-outcome']).toBe('unknown');
     }
     expect(attempts.length).toBeGreaterThanOrEqual(30);
   });
--- a/tests/requests-telemetry.test.ts
+++ b/tests/requests-telemetry.test.ts
@@ -1,4 +1,4 @@
-/** What a request leaves behind for those who watch. */
+/** Spans and log lines of a request. */
 
 import { afterEach, expect, it } from 'vitest';
 
@@ -35,7 +35,7 @@
   return { spans, tracer: { start: (name, parent = '') => span(name, parent) } };
 }
 
-it('has a span for each hop below the caller, and never a prompt or a key in logs and spans', async () => {
+it('a request has a span for each hop, and neither prompt nor API key in logs or spans', async () => {
   const engines = await Promise.all([createEngine(refuse), createEngine(breakConnection)]);
   const groups = fakeGroups(engines.map(({ address }, i) => testGroup(`g${i}`, address)));
   const { tracer, spans } = recordingTracer();
@@ -50,8 +50,8 @@
   const traceparent = `00-${'a'.repeat(32)}-${'b'.repeat(16)}-01`;
   const messages = [{ role: 'user', content: 'a secret prompt' }];
   const body = JSON.stringify({ model: 'pharmacy', messages });
-  const seen = await sendChat(fixture.url, {}, { body, headers: { traceparent } });
-  expect(seen.headers['nutmegstack-outcome']).toBe('unknown');
+  const response = await sendChat(fixture.url, {}, { body, headers: { traceparent } });
+  expect(response.headers['nutmegstack-outcome']).toBe('unknown');
 
   expect(spans[0]).toMatchObject({ name: 'entry', parent: traceparent });
   expect(spans.filter(({ name }) => name === 'attempt')).toHaveLength(2);
@@ -62,8 +62,8 @@
   );
   const sent = engines.flatMap(({ calls }) => calls.map(({ req }) => req.headers.traceparent));
   expect(sent.every((each) => each?.includes('3333'))).toBe(true);
-  const left = JSON.stringify([lines, spans]);
+  const recordedText = JSON.stringify([lines, spans]);
   expect(lines.length).toBeGreaterThan(0);
-  expect(left).not.toContain('secret');
-  expect(left).not.toContain(KEYS.armor);
+  expect(recordedText).not.toContain('secret');
+  expect(recordedText).not.toContain(KEYS.armor);
 });
--- a/tests/requests-waiting.test.ts
+++ b/tests/requests-waiting.test.ts
@@ -1,4 +1,4 @@
-/** Calls that wait for a replica group. */
+/** Calls that are queued until a replica group is routable. */
 
 import { afterEach, describe, expect, it } from 'vitest';
 
@@ -22,29 +22,29 @@
 }
 
 describe('a call while no group is routable', () => {
-  it('is let in as soon as one is, although no other request tells of it', async () => {
+  it('is admitted once one is routable, without another request to trigger the check', async () => {
     const engine = await createEngine(answerNormally);
     cleanups.push(engine.close);
     const groups = fakeGroups();
-    let looks = 0;
+    let polls = 0;
     const expected = { ...groups, expectedAt: () => (Date.now() + EXPECTED_MS) as EpochTime };
     const { url } = await setUp({
       ...expected,
       routable: () => {
-        looks++;
-        return looks < 4 ? [] : [testGroup('g0', engine.address)];
+        polls++;
+        return polls < 4 ? [] : [testGroup('g0', engine.address)];
       },
     });
-    const seen = await sendChat(url, { max_tokens: 8 });
-    expect(seen).toMatchObject({ status: 200, isComplete: true });
+    const response = await sendChat(url, { max_tokens: 8 });
+    expect(response).toMatchObject({ status: 200, isComplete: true });
     expect(engine.calls).toHaveLength(1);
   });
 
-  it('is refused at once where none is expected', async () => {
+  it('is refused immediately if none is expected', async () => {
     const { url } = await setUp(fakeGroups());
-    const seen = await sendChat(url);
-    expect(seen.status).toBe(503);
-    expect(errorOf(seen)).toMatchObject({ outcome: 'not-run', step: 'admission' });
-    expect(seen.headers['retry-after']).toBeDefined();
+    const response = await sendChat(url);
+    expect(response.status).toBe(503);
+    expect(errorOf(response)).toMatchObject({ outcome: 'not-run', step: 'admission' });
+    expect(response.headers['retry-after']).toBeDefined();
   });
 });
--- a/tests/telemetry-hops.test.ts
+++ b/tests/telemetry-hops.test.ts
@@ -1,3 +1,5 @@
+/** Exported spans of a retried request, and secrecy of prompts and keys in logs and metrics. */
+
 import { afterAll, beforeAll, describe, expect, it } from 'vitest';
 
 import { callJson } from '../stand-ins/shared/client';
@@ -29,7 +31,7 @@
   }[];
 }
 
-/** Trace ids of the test's own requests begin so. */
+/** Prefix of the trace ids of the test's own requests. */
 const TRACE_PREFIX = '0af7651916cd43dd8448eb211c8031';
 const ERROR = 2;
 const PROMPT = 'is insulin on the shelves of Quimper?';
@@ -58,8 +60,11 @@
   const [daemon] = system.daemons;
   if (daemon) await submit(daemon, documentFor(system, 2, 2));
   await untilServing(system);
-  // A retry needs a second group, which loads after the first.
-  await until(async () => ((await bothRan()) ? true : undefined), 'both groups run requests');
+  // A retry needs the second group, which loads after the first.
+  await until(
+    async () => ((await haveAllGroupsRun()) ? true : undefined),
+    'both groups run requests',
+  );
 });
 
 afterAll(async () => {
@@ -67,13 +72,13 @@
   await collector.close();
 });
 
-let asked = 0;
+let promptCount = 0;
 
-/** Sends a request, and says whether each group has run one by now. */
-async function bothRan(): Promise<boolean> {
+/** Sends a request and returns whether each group has run at least one so far. */
+async function haveAllGroupsRun(): Promise<boolean> {
   const [daemon] = system.daemons;
-  // Another prompt each time: the same one would go where its prefix is cached.
-  const messages = [{ role: 'user', content: `${asked++} ${PROMPT}` }];
+  // A different prompt each time: the same one would be routed to the group that caches its prefix.
+  const messages = [{ role: 'user', content: `${promptCount++} ${PROMPT}` }];
   if (daemon) await (await chat(daemon, { messages })).text();
   const ran = system.engines.map(async ({ members }) => {
     const records = await Promise.all(
@@ -88,14 +93,14 @@
   return spans.filter(({ traceId }) => traceId === id);
 }
 
-/** Whether the trace is whole and shows two attempts. */
+/** Whether the trace is complete and contains two attempts. */
 function isRetried(trace: readonly OtlpSpan[]): boolean {
   const names = trace.map(({ name }) => name);
   return names.includes('entry') && names.filter((name) => name === 'attempt').length === 2;
 }
 
-/** Sends a request in the trace; its answer must be whole. */
-async function ask(traceId: string): Promise<void> {
+/** Sends a request within the trace and expects success. */
+async function sendTraced(traceId: string): Promise<void> {
   const [daemon] = system.daemons;
   if (daemon === undefined) return;
   const body = { messages: [{ role: 'user', content: `${traceId} ${PROMPT}` }] };
@@ -105,12 +110,12 @@
 }
 
 describe('a request that was retried', () => {
-  it('leaves a tree with a span for each hop below the span of the caller', async () => {
-    // One group gives every answer the id of another attempt.
+  it("has a span for each hop, as descendants of the caller's span", async () => {
+    // One group answers with the id of another attempt, so its answers are rejected and retried.
     const address = system.engines[0]?.members[0]?.address ?? '';
     const body = { wrongAttempt: 1000 };
     await callJson({ address, method: 'POST', path: '/faults', body });
-    for (let i = 10; i < 30; i += 1) await ask(`${TRACE_PREFIX}${i}`);
+    for (let i = 10; i < 30; i += 1) await sendTraced(`${TRACE_PREFIX}${i}`);
 
     const retried = await until(() => {
       const ids = [...new Set(spans.map(({ traceId }) => traceId))];
@@ -130,7 +135,7 @@
 });
 
 describe('logs and metrics', () => {
-  it('hold neither prompts nor keys', async () => {
+  it('contain neither prompts nor keys', async () => {
     const [daemon] = system.daemons;
     const logs = daemon?.process.lines.join('\n') ?? '';
     const metrics = await readMetrics(daemon?.admin ?? '');
--- a/tests/whole-path.test.ts
+++ b/tests/whole-path.test.ts
@@ -1,3 +1,5 @@
+/** End to end: a complete system of separate processes, configured through the command line. */
+
 import { execFile } from 'node:child_process';
 import { mkdtemp, rm, writeFile } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
@@ -26,7 +28,7 @@
 
 let system: System;
 
-/** Submits the document by the command line, as an operator would. */
+/** Submits the document with the command line tool. */
 async function apply(document: object): Promise<string> {
   const folder = await mkdtemp(join(tmpdir(), 'nutmegstack-'));
   const file = join(folder, 'config.yaml');
@@ -63,7 +65,7 @@
 
 afterAll(() => system.stop());
 
-describe('the whole path as separate processes', () => {
+describe('a system of separate processes', () => {
   it('answers a chat completion through each daemon', async () => {
     for (const daemon of system.daemons) {
       const res = await chat(daemon, { messages: MESSAGES });
@@ -74,7 +76,7 @@
     }
   });
 
-  it('streams the whole answer through each daemon', async () => {
+  it('streams a complete answer through each daemon', async () => {
     for (const daemon of system.daemons) {
       const res = await chat(daemon, { messages: MESSAGES, stream: true });
       const text = await res.text();
@@ -83,7 +85,7 @@
     }
   });
 
-  it('has every daemon know every group as routable, by word of its peers', async () => {
+  it('makes every group routable on every daemon, from the reports of its peers', async () => {
     const routable = async (admin: string): Promise<readonly boolean[]> => {
       const headers = { authorization: `Bearer ${OPERATOR_KEY}` };
       const res = await fetch(`http://${admin}/admin/v1/status`, { headers });
@@ -92,13 +94,13 @@
     };
     for (const { admin, id } of system.daemons) {
       await until(async () => {
-        const seen = await routable(admin);
-        return seen.length === 2 && seen.every(Boolean) ? true : undefined;
+        const groups = await routable(admin);
+        return groups.length === 2 && groups.every(Boolean) ? true : undefined;
       }, `${id} sees both groups`);
     }
   });
 
-  it('runs a non-repeatable service call once, whichever daemon it is sent to', async () => {
+  it('runs a non-repeatable service call once, regardless of which daemons receive it', async () => {
     for (const daemon of system.daemons) {
       const res = await fetch(`http://${daemon.callers}/services/ledger/reservations`, {
         method: 'POST',
