--- a/src/app/requests/admit.ts
+++ b/src/app/requests/admit.ts
@@ -19,7 +19,7 @@
 }
 
 /** Runs the call under a claim if it is not repeatable and has an idempotency key. */
-function runOnceIfAsked(
+function runWithClaim(
   ctx: RequestContext,
   parts: RequestParts,
   call: Call,
@@ -45,7 +45,7 @@
   span.end(verdict.kind === 'refused' ? verdict.error.code : undefined);
   if (verdict.kind === 'refused') return refusedEnding(verdict.error, verdict.retryAt);
   try {
-    return await runOnceIfAsked(ctx, parts, call, ready);
+    return await runWithClaim(ctx, parts, call, ready);
   } finally {
     parts.gate.leave(call.exchange.id);
   }
--- a/src/app/requests/attempts.ts
+++ b/src/app/requests/attempts.ts
@@ -52,6 +52,7 @@
   readonly guard: SendGuard;
   /** Selects the next destination, or states why there is none. `tried` holds the used keys. */
   readonly pick: (tried: ReadonlySet<string>) => Selection<T>;
+  /** Makes one attempt at the destination. */
   readonly attempt: (destination: T, id: AttemptId) => Promise<AttemptResult>;
 }
 
--- a/src/app/requests/call-options.ts
+++ b/src/app/requests/call-options.ts
@@ -42,7 +42,7 @@
   const organisation = getOwn(config.organisations, grant.organisation ?? '');
   const callerClass = organisation && getOwn(organisation.classes, grant.class ?? '');
   if (grant.role !== 'caller' || organisation === undefined || callerClass === undefined) {
-    return err(fail('forbidden', 'the API key does not have the caller role', { step: 'entry' }));
+    return err(fail('forbidden', 'the API key does not grant caller access', { step: 'entry' }));
   }
   return ok({ organisation, class: callerClass });
 }
@@ -71,8 +71,8 @@
   return isValid ? ok(text) : err(badHeader(HEADER.idempotencyKey, '1 to 255 characters long'));
 }
 
-/** The value of a header. Repeated headers that Node keeps apart are joined. */
-function single(headers: IncomingHttpHeaders, name: string): string | undefined {
+/** The value of a header. Repeated headers are joined, if Node has not already done so. */
+function headerValue(headers: IncomingHttpHeaders, name: string): string | undefined {
   const value = headers[name];
   return Array.isArray(value) ? value.join(', ') : value;
 }
@@ -92,9 +92,9 @@
 ): Result<CallOptions, StepError> {
   const { now, epoch } = defaults;
   const defaultDeadline = later(epoch, defaults.deadlineMs);
-  const deadline = readDeadline(single(headers, HEADER.deadline), defaultDeadline);
-  const repeatable = readRepeatable(single(headers, HEADER.repeatable), defaults.repeatable);
-  const key = readIdempotencyKey(single(headers, HEADER.idempotencyKey));
+  const deadline = readDeadline(headerValue(headers, HEADER.deadline), defaultDeadline);
+  const repeatable = readRepeatable(headerValue(headers, HEADER.repeatable), defaults.repeatable);
+  const key = readIdempotencyKey(headerValue(headers, HEADER.idempotencyKey));
   if (deadline.isErr()) return err(deadline.error);
   if (repeatable.isErr()) return err(repeatable.error);
   if (key.isErr()) return err(key.error);
--- a/src/app/requests/claim-writer.ts
+++ b/src/app/requests/claim-writer.ts
@@ -49,7 +49,7 @@
   readonly claimShare: number;
   /** Maximum number of writes in one transaction. */
   readonly maxBatch: number;
-  /** How long the first write waits for others to join its batch, milliseconds. */
+  /** Delay after the first write to an idle writer, so that others can join its batch, milliseconds. */
   readonly lingerMs: number;
   /** Maximum wait in the queue, milliseconds. */
   readonly queueTimeoutMs: number;
--- a/src/app/requests/claims.ts
+++ b/src/app/requests/claims.ts
@@ -52,7 +52,7 @@
   return claimRowKey(call.caller.organisation.id, hashParts(key));
 }
 
-function termsOf(ctx: RequestContext, call: Call): ClaimTerms {
+function claimTermsOf(ctx: RequestContext, call: Call): ClaimTerms {
   const { clock, settings, self } = ctx;
   const epoch = clock.epoch();
   return {
@@ -167,7 +167,7 @@
   const pending = new Set<Promise<void>>();
 
   const startClaim = (call: Call, key: string, resolve: (verdict: ClaimVerdict) => void): void => {
-    let state = createClaim(termsOf(ctx, call));
+    let state = createClaim(claimTermsOf(ctx, call));
     let onClosed = (): void => undefined;
     const closed = new Promise<void>((done) => (onClosed = done));
     const run: ClaimRun = {
--- a/src/app/requests/model-answer.ts
+++ b/src/app/requests/model-answer.ts
@@ -112,7 +112,7 @@
   );
 }
 
-function readWhole(
+function readBuffered(
   { ctx, group, abort }: ModelAttempt,
   { res }: Answered,
 ): Promise<Result<Buffer, StepError>> {
@@ -126,7 +126,7 @@
 
 /** Passes an error in the request itself (4xx) on to the caller as the answer. */
 async function onRequestError(attempt: ModelAttempt, answered: Answered): Promise<AttemptResult> {
-  const body = await readWhole(attempt, answered);
+  const body = await readBuffered(attempt, answered);
   if (body.isErr()) return attemptFailed('lost', body.error);
   const type = answered.res.headers['content-type'] ?? 'application/json';
   const headers = { 'content-type': type };
@@ -140,8 +140,8 @@
   ctx.metrics.observe(METRIC.firstToken, sinceArrival, call.labels);
 }
 
-async function onWhole(attempt: ModelAttempt, answered: Answered): Promise<AttemptResult> {
-  const body = await readWhole(attempt, answered);
+async function onBuffered(attempt: ModelAttempt, answered: Answered): Promise<AttemptResult> {
+  const body = await readBuffered(attempt, answered);
   if (body.isErr()) return attemptFailed('lost', body.error);
   const fault = checkBufferedAnswer(body.value);
   if (fault !== undefined) return badAnswer(attempt, `incomplete or malformed answer: ${fault}`);
@@ -153,8 +153,7 @@
   };
 }
 
-/** One gap in so many is recorded, which keeps the cost per chunk down and the sample fair. */
-/** The gap between two chunks is measured once per this many chunks. */
+/** One gap between chunks is measured per this many, which limits the cost and keeps the sample fair. */
 const GAP_SAMPLE = 16;
 
 /** Counts the chunks of a stream and samples the time between them. */
@@ -234,5 +233,5 @@
     return badAnswer(attempt, 'the answer comes from another group or epoch');
   }
   if (status >= STATUS.clientError) return onRequestError(attempt, answered);
-  return attempt.call.stream ? onStream(attempt, answered) : onWhole(attempt, answered);
+  return attempt.call.stream ? onStream(attempt, answered) : onBuffered(attempt, answered);
 }
--- a/src/app/requests/model-call.ts
+++ b/src/app/requests/model-call.ts
@@ -64,8 +64,8 @@
 
 function noGroup(ctx: RequestContext, call: ModelCall): Selection<RoutableGroup> {
   const error = fail('no-group', 'no replica group can accept the request', { step: 'routing' });
-  const soon = later(ctx.clock.epoch(), ctx.settings.retryAfterMs);
-  const retryAt = ctx.groups.expectedAt(call.model) ?? soon;
+  const defaultRetryAt = later(ctx.clock.epoch(), ctx.settings.retryAfterMs);
+  const retryAt = ctx.groups.expectedAt(call.model) ?? defaultRetryAt;
   return { kind: 'none', failure: { error, exposure: 'none', retryAt } };
 }
 
--- a/src/app/requests/relay.ts
+++ b/src/app/requests/relay.ts
@@ -58,9 +58,9 @@
 }
 
 /** Relays the stream until it ends or breaks. Closing the connections is left to the caller. */
-export function relayStream(job: RelayOptions): Promise<RelayResult> {
-  const { from, to, peer } = job;
-  const check = createFrameCheck(job.maxFrameBytes);
+export function relayStream(opts: RelayOptions): Promise<RelayResult> {
+  const { from, to, peer } = opts;
+  const check = createFrameCheck(opts.maxFrameBytes);
   let started = false;
 
   return new Promise((resolve) => {
@@ -77,21 +77,21 @@
       settleBroken(
         fail('deadline-exceeded', 'stream idle timeout exceeded', { step: 'relay', peer }),
       );
-    }, job.idleTimeoutMs);
+    }, opts.idleTimeoutMs);
     const onDrain = (): void => {
       timer.refresh();
       from.resume();
     };
     const forwardBytes = (bytes: Buffer): void => {
-      if (!started) job.onFirst();
+      if (!started) opts.onFirst();
       started = true;
-      job.onForward?.(bytes);
+      opts.onForward?.(bytes);
       if (!to.write(bytes)) from.pause();
     };
     to.on('drain', onDrain);
     from.on('data', (chunk: Buffer) => {
       timer.refresh();
-      job.onChunk();
+      opts.onChunk();
       const forward = check.push(chunk);
       const fault = check.fault();
       if (fault !== undefined) settleBroken(faultError(fault, peer));
--- a/src/app/requests/reply.ts
+++ b/src/app/requests/reply.ts
@@ -40,7 +40,7 @@
   return { [HEADER.retryAfter]: String(seconds) };
 }
 
-function sendWhole(target: ReplyTarget, answer: BufferedAnswer): void {
+function sendBuffered(target: ReplyTarget, answer: BufferedAnswer): void {
   target.res.writeHead(answer.status, {
     ...answer.headers,
     'content-length': answer.body.byteLength,
@@ -56,7 +56,7 @@
 }
 
 function sendDone(target: ReplyTarget, ending: DoneEnding): void {
-  if (ending.answer.kind === 'whole') sendWhole(target, ending.answer);
+  if (ending.answer.kind === 'whole') sendBuffered(target, ending.answer);
   else sendStreamEnd(target, ending.answer);
 }
 
--- a/src/app/requests/settings.ts
+++ b/src/app/requests/settings.ts
@@ -32,7 +32,7 @@
   readonly claimShare: number;
   /** Maximum number of claims and records in one transaction. */
   readonly maxClaimBatch: number;
-  /** How long the first claim of a batch waits for others to join, milliseconds. */
+  /** Delay after the first claim to an idle writer, so that others join its batch, milliseconds. */
   readonly claimLingerMs: number;
   /** How long a claim may wait for its commit, milliseconds. After that nothing is sent. */
   readonly claimTimeoutMs: number;
--- a/src/app/requests/strikes.ts
+++ b/src/app/requests/strikes.ts
@@ -58,8 +58,10 @@
 
 /** Tracks which requests were running when groups were lost. */
 export interface Strikes {
+  /** Applies the entries known so far, then those of peers as they arrive. */
   start(): void;
   stop(): void;
+  /** How strongly the request is suspected of crashing groups. */
   suspicion(fingerprint: Fingerprint): Suspicion;
   /** When the quarantine ends; undefined if the request is not quarantined. */
   quarantinedUntil(fingerprint: Fingerprint): EpochTime | undefined;
--- a/src/app/requests/sweep.ts
+++ b/src/app/requests/sweep.ts
@@ -1,6 +1,6 @@
 /**
  * Removes claims whose retention has passed. Each daemon scans one page at a time, from a cursor of
- * its own. Daemons at the same page don't conflict, since rows are deleted by version.
+ * its own. Two daemons at the same page do no harm, since rows are deleted by version.
  */
 
 import { timer } from 'rxjs';
@@ -32,7 +32,7 @@
   readonly claim: ClaimRow;
 }
 
-/** A random start cursor: daemons that are replaced often would never get past the first rows. */
+/** A random start cursor: daemons are replaced too often to start at the first row each time. */
 function randomCursor(ctx: RequestContext): string {
   const ids = Object.keys(ctx.config.current().organisations);
   const id = ids[Math.floor(ctx.random.next() * ids.length)] ?? '';
