--- a/src/app/requests/call-options.ts
+++ b/src/app/requests/call-options.ts
@@ -68,7 +68,9 @@
 function readIdempotencyKey(text: string | undefined): Result<string | undefined, StepError> {
   if (text === undefined) return ok(undefined);
   const isValid = text.length > 0 && text.length <= MAX_KEY_LENGTH;
-  return isValid ? ok(text) : err(badHeader(HEADER.idempotencyKey, '1 to 255 characters long'));
+  return isValid
+    ? ok(text)
+    : err(badHeader(HEADER.idempotencyKey, `1 to ${MAX_KEY_LENGTH} characters long`));
 }
 
 /** The value of a header. Repeated headers are joined, if Node has not already done so. */
--- a/src/app/requests/model-answer.ts
+++ b/src/app/requests/model-answer.ts
@@ -227,7 +227,7 @@
   if (status === STATUS.conflict) return onConflict(attempt, answered);
   if (status === STATUS.unavailable) return onUnavailable(attempt, answered);
   if (status >= STATUS.serverError)
-    return badAnswer(attempt, 'the engine failed to answer the request', 'backend-lost');
+    return badAnswer(attempt, `the engine answered with status ${status}`, 'backend-lost');
   if (!isFromGroup(answered.res, attempt)) {
     reportEvidence(attempt, 'wrong-group', 'first-byte');
     return badAnswer(attempt, 'the answer comes from another group or epoch');
--- a/src/app/requests/model-call.ts
+++ b/src/app/requests/model-call.ts
@@ -63,7 +63,9 @@
 }
 
 function noGroup(ctx: RequestContext, call: ModelCall): Selection<RoutableGroup> {
-  const error = fail('no-group', 'no replica group can accept the request', { step: 'routing' });
+  const error = fail('no-group', `no replica group of model ${call.model} can accept the request`, {
+    step: 'routing',
+  });
   const defaultRetryAt = later(ctx.clock.epoch(), ctx.settings.retryAfterMs);
   const retryAt = ctx.groups.expectedAt(call.model) ?? defaultRetryAt;
   return { kind: 'none', failure: { error, exposure: 'none', retryAt } };
--- a/src/app/requests/relay.ts
+++ b/src/app/requests/relay.ts
@@ -75,7 +75,10 @@
     };
     const timer = setTimeout(() => {
       settleBroken(
-        fail('deadline-exceeded', 'stream idle timeout exceeded', { step: 'relay', peer }),
+        fail('deadline-exceeded', `no progress in the stream for ${opts.idleTimeoutMs} ms`, {
+          step: 'relay',
+          peer,
+        }),
       );
     }, opts.idleTimeoutMs);
     const onDrain = (): void => {
--- a/src/app/requests/service-call.ts
+++ b/src/app/requests/service-call.ts
@@ -196,7 +196,11 @@
 ): Selection<string> {
   const address = backends.pick(call.spec, tried);
   if (address !== undefined) return { kind: 'place', key: address, destination: address };
-  const error = fail('overloaded', 'no backend server can accept the call', { step: 'routing' });
+  const error = fail(
+    'overloaded',
+    `no backend server of service ${call.spec.id} can accept the call`,
+    { step: 'routing' },
+  );
   const retryAt = later(ctx.clock.epoch(), ctx.settings.retryAfterMs);
   return { kind: 'none', failure: { error, exposure: 'none', retryAt } };
 }
