--- a/src/app/gateway/fleet.ts
+++ b/src/app/gateway/fleet.ts
@@ -1,4 +1,7 @@
-/** The other daemons: who they are, and what each of them said last. */
+/**
+ * The other daemons of the fleet: their addresses, the last state received from each, and messages
+ * to them.
+ */
 
 import { Subject } from 'rxjs';
 import type { Observable } from 'rxjs';
@@ -21,32 +24,43 @@
 import { watchFeed } from './watch';
 
 export interface Fleet {
-  /** Peers that were heard of lately. */
+  /** Peers that were heard from recently. */
   live(): readonly PeerView[];
-  /** The peer that said last, and lately, that it holds the lease. */
+  /** The peer that most recently claimed the lease, if that was not too long ago. */
   leader(): Leader | undefined;
-  /** Daemons at work, this one included, as far as is known. */
+  /** Running daemons, this one included, as far as known. */
   size(): number;
-  /** Whether there are too many daemons for each to tell each what it knows. */
+  /** Whether there are too many daemons for each to exchange state with every other. */
   isLarge(): boolean;
-  /** Daemons that may be at work: heard of lately, or entered in the store; without those that stop. */
+  /**
+   * Daemons that may be running: heard from recently or registered in the store, without those that
+   * are stopping.
+   */
   candidates(): CoreCounts;
-  /** Entered daemons that give no sign, as those say that hear most of them. */
+  /** Registered daemons that do not respond, as reported by the leader if there is one. */
   silent(): readonly DaemonId[];
   readonly received: Observable<ReceivedMessage>;
-  /** Addresses whose links broke or could not be made. */
+  /** Addresses whose links broke or could not be established. */
   readonly unreachable: Observable<string>;
   send(address: string, message: PlainMessage): void;
   /** Sends to daemons whose addresses are known. */
   sendTo(daemons: readonly DaemonId[], message: PlainMessage): void;
   broadcast(message: PlainMessage): void;
-  /** Tells all daemons what this one, their leader, has to say; in a large fleet through relays. */
+  /**
+   * Sends a message of this daemon, the leader, to all daemons; in a large fleet through relays.
+   */
   broadcastAsLeader(message: LeaderMessage): void;
-  /** Tells the leader what this daemon has to say; in a large fleet through the relay that it was heard by. */
+  /**
+   * Sends this daemon's state to the leader; in a large fleet through the relay that delivered the
+   * leader's last message.
+   */
   answer(leader: Leader, message: PeerState): void;
-  /** Sends on what peers have for the leader. */
+  /** Forwards the states collected from peers to the leader. */
   tick(): void;
-  /** Sends to those that are most likely to lead, or soon will: a leader tells everyone it has heard of. */
+  /**
+   * Sends to the daemons most likely to lead now or soon: a leader sends its updates to every
+   * daemon it has heard from.
+   */
   sendToLikelyLeaders(message: PlainMessage): void;
   start(): Promise<void>;
   stop(): Promise<void>;
@@ -54,32 +68,38 @@
 
 /** Silence after which a peer's last state message is stale: a few of its intervals. */
 const PEER_FRESH_MS = 1_500;
-/** Added for each peer known: in a large fleet each broadcasts less often. */
+/** Added for each known peer: in a large fleet each daemon broadcasts less often. */
 const FRESH_PER_PEER_MS = 40;
-/** A waiting link is given up soon: state is sent again anyway. */
-const HANDSHAKE_MS = 1_000;
-const LONGEST_BACKOFF_MS = 1_000;
-/** A fleet with more daemons than this speaks by way of its leader. */
-const DIRECT_DAEMONS = 13;
-/** Silence after which a leader counts as gone: it broadcasts several times in that time. */
+/** Handshakes time out early: state is sent again anyway. */
+const HANDSHAKE_TIMEOUT_MS = 1_000;
+const MAX_BACKOFF_MS = 1_000;
+/** A fleet with more daemons than this communicates through its leader. */
+const MAX_DIRECT_DAEMONS = 13;
+/** Silence after which a leader is considered lost: it broadcasts several times in that time. */
 const LEADER_FRESH_MS = 1_200;
-/** So many of the first in line for the lease, and as many others, are told where no leader is heard of. */
+/**
+ * While no leader is heard, state goes to this many of the first candidates for the lease and to as
+ * many random ones.
+ */
 const LIKELY_LEADERS = 3;
-/** The lease that the leader holds; daemons rank themselves by its name. */
+/** Name of the lease that the leader holds; daemons rank themselves by it. */
 export const LEASE_NAME = 'groups';
 /**
- * Daemons enter themselves one after the other at a start, and are read together after this. Until
- * then a daemon is known by its own messages.
+ * Daemons register one after the other at startup; entries are read together after this delay.
+ * Until then a daemon is known by its own messages.
+ */
+const ENTRIES_POLL_DELAY_MS = 3_000;
+/** Poll delay once a leader is heard, which reports the number of daemons. */
+const LED_ENTRIES_POLL_DELAY_MS = 10_000;
+/**
+ * Entries change seldom, and a poll that is never answered does no harm: daemons are known by their
+ * messages too.
  */
-const ENTRIES_REST_MS = 3_000;
-/** The same once a leader is heard, which tells how many daemons there are. */
-const LED_ENTRIES_REST_MS = 10_000;
-/** Entries change seldom, and a poll that fell silent harms nobody: daemons are known by their messages too. */
 const ENTRIES_WAIT_MS = 15_000;
-/** A peer that has been silent for so long has ended for good. */
-const FORGET_MS = 60_000;
+/** A peer that was silent for this long is considered permanently stopped. */
+const PEER_RETENTION_MS = 60_000;
 
-export function createFleet(ctx: GatewayContext, entries: Feed<DaemonEntry>): Fleet {
+export function createFleet(ctx: GatewayContext, entryFeed: Feed<DaemonEntry>): Fleet {
   const { settings, clock } = ctx;
   const peers = createPeers<GatewayMessage>({
     self: { id: settings.id, address: settings.peerListen },
@@ -89,28 +109,29 @@
     clock,
     random: ctx.random,
     logger: ctx.logger,
-    settings: { handshakeMs: HANDSHAKE_MS, longestMs: LONGEST_BACKOFF_MS },
+    settings: { handshakeMs: HANDSHAKE_TIMEOUT_MS, longestMs: MAX_BACKOFF_MS },
   });
-  /** Entries of the store. */
-  const known = new Map<DaemonId, DaemonEntry>();
-  const heard = new Map<DaemonId, PeerView>();
+  /** Daemon entries of the store. */
+  const entries = new Map<DaemonId, DaemonEntry>();
+  const peerViews = new Map<DaemonId, PeerView>();
   const received = new Subject<ReceivedMessage>();
-  /** By address: when a peer was last heard of, and what it is being told. */
-  const heardAt = new Map<string, MonoTime>();
-  const conversations = new Map<string, LinkActivity>();
+  /** By address: when a peer was last heard from, and what is being sent to it. */
+  const lastHeardAt = new Map<string, MonoTime>();
+  const linkActivity = new Map<string, LinkActivity>();
 
   const watch = watchFeed(ctx, {
-    feed: entries,
+    feed: entryFeed,
     waitMs: () => ENTRIES_WAIT_MS,
     freshUntil: (now) => later(now, ENTRIES_WAIT_MS),
-    nextPollAt: (since) => later(since, leader() ? LED_ENTRIES_REST_MS : ENTRIES_REST_MS),
+    nextPollAt: (since) =>
+      later(since, leader() ? LED_ENTRIES_POLL_DELAY_MS : ENTRIES_POLL_DELAY_MS),
     apply: (changes: readonly Change<DaemonEntry>[], kind) => {
-      // An older copy may lack daemons that live; they enter themselves again.
-      if (kind === 'whole') known.clear();
+      // An older copy may lack running daemons; they register again.
+      if (kind === 'whole') entries.clear();
       for (const { key, value } of changes) {
         const id = brandAs<DaemonId>(key);
-        if (value === undefined) known.delete(id);
-        else known.set(id, value);
+        if (value === undefined) entries.delete(id);
+        else entries.set(id, value);
       }
     },
   });
@@ -126,36 +147,36 @@
     }
   };
 
-  const take = (arrived: ReceivedMessage): void => {
-    const { from, address, message } = arrived;
+  const receive = (incoming: ReceivedMessage): void => {
+    const { from, address, message } = incoming;
     if (message.kind === 'state') {
-      heard.set(from, { ...message, id: from, address, at: clock.now() });
+      peerViews.set(from, { ...message, id: from, address, at: clock.now() });
     }
-    noteLeader(arrived);
-    received.next(arrived);
+    noteLeader(incoming);
+    received.next(incoming);
   };
 
   peers.received.subscribe(({ from, address, message }) => {
-    heardAt.set(address, clock.now());
+    lastHeardAt.set(address, clock.now());
     if (message.kind === 'relayed') {
-      take(relaying.forward(message, address));
+      receive(relaying.forward(message, address));
       return;
     }
     if (message.kind === 'states') {
       for (const entry of message.states) {
         if (entry.id === settings.id) continue;
-        take({ from: entry.id, address: entry.address, via: address, message: entry.state });
+        receive({ from: entry.id, address: entry.address, via: address, message: entry.state });
       }
       return;
     }
     if (message.kind === 'state' && isLarge()) relaying.collect(from, address, message);
-    take({ from, address, via: address, message });
+    receive({ from, address, via: address, message });
   });
 
   const live = (): PeerView[] => {
     const now = clock.now();
-    const freshMs = PEER_FRESH_MS + FRESH_PER_PEER_MS * heard.size;
-    return [...heard.values()].filter(({ at }) => now < later(at, freshMs));
+    const freshMs = PEER_FRESH_MS + FRESH_PER_PEER_MS * peerViews.size;
+    return [...peerViews.values()].filter(({ at }) => now < later(at, freshMs));
   };
 
   const leader = (): Leader | undefined =>
@@ -163,11 +184,11 @@
 
   const size = (): number => Math.max(live().length + 1, leader()?.daemons ?? 0);
 
-  const isLarge = (): boolean => Math.max(size(), known.size) > DIRECT_DAEMONS;
+  const isLarge = (): boolean => Math.max(size(), entries.size) > MAX_DIRECT_DAEMONS;
 
   const candidates = (): Map<DaemonId, number> => {
     const all = new Map<DaemonId, number>([[settings.id, settings.cores]]);
-    for (const [id, { cores }] of known) all.set(id, cores);
+    for (const [id, { cores }] of entries) all.set(id, cores);
     for (const { id, cores, isStopping } of live()) {
       if (isStopping) all.delete(id);
       else all.set(id, cores);
@@ -176,75 +197,77 @@
   };
 
   const silent = (): readonly DaemonId[] => {
-    const told = leader()?.silent;
-    if (told) return told;
-    const heardNow = new Set([settings.id, ...live().map(({ id }) => id)]);
-    return listUnresponsive([...known.keys()], heardNow);
+    const reported = leader()?.silent;
+    if (reported) return reported;
+    const responsive = new Set([settings.id, ...live().map(({ id }) => id)]);
+    return listUnresponsive([...entries.keys()], responsive);
   };
 
   const addresses = (): Set<string> => {
     const all = new Set<string>(ctx.tunables.value.seeds);
-    for (const { address } of known.values()) all.add(address);
-    for (const { address } of heard.values()) all.add(address);
+    for (const { address } of entries.values()) all.add(address);
+    for (const { address } of peerViews.values()) all.add(address);
     all.delete(settings.peerListen);
     return all;
   };
 
   const addressOf = (id: DaemonId): string | undefined =>
-    known.get(id)?.address ?? heard.get(id)?.address;
+    entries.get(id)?.address ?? peerViews.get(id)?.address;
 
   const likelyLeaders = (): Set<string> => {
     const others = rankSuccessors(LEASE_NAME, candidates()).filter((id) => id !== settings.id);
     const first = others.slice(0, LIKELY_LEADERS);
-    const drawn = sample(others, LIKELY_LEADERS, () => ctx.random.next());
-    const found = [...first, ...drawn].flatMap((id) => addressOf(id) ?? []);
+    const sampled = sample(others, LIKELY_LEADERS, () => ctx.random.next());
+    const found = [...first, ...sampled].flatMap((id) => addressOf(id) ?? []);
     const all = new Set([...ctx.tunables.value.seeds, ...found]);
-    // A leader that is no longer heard of may only have lost its link to here.
+    // A leader that is no longer heard may only have lost its link to this daemon.
     if (lastLeader && candidates().has(lastLeader.id)) all.add(lastLeader.address);
     all.delete(settings.peerListen);
     return all;
   };
 
-  /** Peers that ended for good are forgotten, so that nobody dials them for ever. */
-  const forgetSilent = (): void => {
+  /** Forgets peers that are permanently stopped, so that no daemon keeps dialing them. */
+  const prunePeers = (): void => {
     const now = clock.now();
-    for (const [id, { at }] of heard) if (now >= later(at, FORGET_MS)) heard.delete(id);
-    for (const [address, at] of heardAt) if (now >= later(at, FORGET_MS)) heardAt.delete(address);
-    for (const [address, { lastSentAt: spokeAt }] of conversations) {
-      if (now >= later(spokeAt, FORGET_MS)) conversations.delete(address);
+    for (const [id, { at }] of peerViews)
+      if (now >= later(at, PEER_RETENTION_MS)) peerViews.delete(id);
+    for (const [address, at] of lastHeardAt)
+      if (now >= later(at, PEER_RETENTION_MS)) lastHeardAt.delete(address);
+    for (const [address, { lastSentAt: spokeAt }] of linkActivity) {
+      if (now >= later(spokeAt, PEER_RETENTION_MS)) linkActivity.delete(address);
     }
   };
 
-  /** Breaks the link to a peer that answers what it is told now and has fallen silent. */
-  const renewSilent = (address: string, now: MonoTime): void => {
+  /** Drops the link to a peer that is expected to reply but has become unresponsive. */
+  const resetSilentLink = (address: string, now: MonoTime): void => {
     const { settleMs } = ctx.tunables.value;
-    const conversation = noteLinkSend(conversations.get(address), now, settleMs);
-    conversations.set(address, conversation);
-    if (!isLinkUnresponsive(conversation, heardAt.get(address), now, settleMs)) return;
-    ctx.logger.info('peer is silent, link made anew', { step: 'peer-link', peer: address });
-    conversations.delete(address);
+    const activity = noteLinkSend(linkActivity.get(address), now, settleMs);
+    linkActivity.set(address, activity);
+    if (!isLinkUnresponsive(activity, lastHeardAt.get(address), now, settleMs)) return;
+    ctx.logger.info('peer unresponsive, reconnecting', { step: 'peer-link', peer: address });
+    linkActivity.delete(address);
     peers.drop(address);
   };
 
-  /** Sends what peers answer, over new links to those that have fallen silent. */
-  const tell = (addresses: Iterable<string>, message: GatewayMessage): void => {
+  /** Sends a message that peers reply to, reconnecting to those that have become unresponsive. */
+  const sendExpectingReply = (addresses: Iterable<string>, message: GatewayMessage): void => {
     const now = clock.now();
     const to = [...addresses];
-    for (const address of to) renewSilent(address, now);
+    for (const address of to) resetSilentLink(address, now);
     peers.sendToAll(to, message);
   };
 
   const relaying = createRelaying(ctx, {
-    sendExpectingReply: tell,
+    sendExpectingReply,
     sendToAll: (addresses, message) => {
       peers.sendToAll(addresses, message);
     },
   });
 
   const broadcast = (message: PlainMessage): void => {
-    forgetSilent();
+    prunePeers();
     const isAnswered = message.kind === 'state' || message.kind === 'loads';
-    if (isAnswered) tell(addresses(), message);
+    if (isAnswered) sendExpectingReply(addresses(), message);
     else peers.sendToAll(addresses(), message);
   };
 
@@ -272,7 +295,7 @@
         broadcast(message);
         return;
       }
-      forgetSilent();
+      prunePeers();
       relaying.broadcast(message, live(), addresses());
     },
     answer: ({ via }, message) => {
@@ -283,7 +306,8 @@
     },
     sendToLikelyLeaders: (message) => {
       const likely = likelyLeaders();
-      if (lastLeader && likely.delete(lastLeader.address)) tell([lastLeader.address], message);
+      if (lastLeader && likely.delete(lastLeader.address))
+        sendExpectingReply([lastLeader.address], message);
       peers.sendToAll(likely, message);
     },
     start: () => peers.start(),
--- a/src/app/gateway/group-planner.ts
+++ b/src/app/gateway/group-planner.ts
@@ -1,4 +1,7 @@
-/** Runs the plan of replica groups while this daemon holds the lease: sends orders, and looks into stalls. */
+/**
+ * Plans replica groups while this daemon holds the lease: sends orders to servers and investigates
+ * stalls.
+ */
 
 import { Subject } from 'rxjs';
 import type { Observable } from 'rxjs';
@@ -26,33 +29,40 @@
 import type { ServerRegistry } from './server-registry';
 
 export interface GroupPlanner {
-  /** Plans anew; to be called after each change and every so often. */
+  /** Plans again. To be called after each change and periodically. */
   tick(): void;
-  /** Asks the members of a group that stands still, and replaces those that do not answer. */
+  /** Asks the members of a stalled group for reports and replaces those that do not answer. */
   inspect(stall: Stall): void;
-  /** Groups of which a member is lost, as its silence to questions shows. */
+  /** Groups with a member that did not answer and is therefore considered lost. */
   readonly lost: Observable<Stall>;
-  /** Set once callers are being served anywhere. */
+  /** To be called once any daemon serves callers. */
   noteTraffic(): void;
 }
 
-/** A member that gives no report within this is held to be lost. A live one takes about a millisecond. */
+/**
+ * A member that sends no report within this time is considered lost. A healthy one takes about a
+ * millisecond.
+ */
 const REPORT_TIMEOUT_MS = 250;
-/** A second question goes out on a connection of its own after this, in case a packet was lost. */
-const SECOND_REPORT_MS = 90;
-/** A lost member is left out for this long, or until it starts anew under another id. */
-const LOST_MS = 20_000;
-/** The same group is not looked into again before this. */
-const INSPECT_AGAIN_MS = 700;
-/** Demand is taken in at this interval, with this weight: a mean over about five seconds. */
-const DEMAND_MS = 500;
-const DEMAND_SMOOTHING = 0.1;
 /**
- * Part of the processor's time that planning may take. Each answer to an order and each change of the
- * servers asks for a plan; in a large fleet they come faster than plans are made, and what is late then
- * is the lease, the orders' answers and all that peers wait for.
+ * After this time a second request is sent on a connection of its own, in case a packet was lost.
+ */
+const RETRY_REPORT_MS = 90;
+/** A lost member is excluded for this long, or until it restarts under another id. */
+const LOST_EXCLUSION_MS = 20_000;
+/** Minimum time between two inspections of the same group. */
+const INSPECT_INTERVAL_MS = 700;
+/**
+ * Offered load is sampled at this interval and with this weight: a mean over about five seconds.
  */
-const PLAN_SHARE = 0.2;
+const LOAD_SAMPLE_MS = 500;
+const LOAD_SMOOTHING = 0.1;
+/**
+ * Share of processor time that planning may take. Each answer to an order and each change of the
+ * servers requests a plan; in a large fleet these arrive faster than plans are computed, which
+ * would delay lease renewals, the handling of answers, and all messages that peers wait for.
+ */
+const MAX_PLAN_SHARE = 0.2;
 
 export interface GroupPlannerOptions {
   readonly roster: ServerRegistry;
@@ -61,7 +71,7 @@
   readonly servers: Servers;
   /** Whether any daemon has streams running in the group. */
   readonly isBusy: (group: GroupId) => boolean;
-  /** Work of each model, in full groups. */
+  /** Offered load of each model, in full batches. */
   readonly offeredLoad: () => ReadonlyMap<ModelId, number>;
 }
 
@@ -70,31 +80,33 @@
   options: GroupPlannerOptions,
 ): GroupPlanner {
   const { clock, logger } = ctx;
-  const { roster, routes, leadership, servers, isBusy } = options;
+  const { roster: serverRegistry, routes, leadership, servers, isBusy } = options;
   let term: FencingNumber | undefined;
   let states = new Map<ServiceId, FormingState>();
   let hasTraffic = false;
   let planDueAt = clock.now();
   let planTimer: NodeJS.Timeout | undefined;
-  const inspected = new Map<GroupId, MonoTime>();
-  /** Servers whose entries have gone and whose groups were asked since. */
-  const asked = new Set<InstanceId>();
+  const nextInspectionAt = new Map<GroupId, MonoTime>();
+  /** Servers whose entries expired and whose groups were inspected since. */
+  const inspectedLapsed = new Set<InstanceId>();
   const lostGroups = new Subject<Stall>();
 
-  /** Demand as a running mean, so that no short peak decides which model a group gets. */
-  const smoothed = new Map<ModelId, number>();
+  /**
+   * Offered load as a running mean, so that a short peak does not decide which model a group gets.
+   */
+  const smoothedLoad = new Map<ModelId, number>();
   let smoothedAt = clock.now();
-  const noteDemand = (): void => {
+  const updateSmoothedLoad = (): void => {
     const now = clock.now();
-    if (now < later(smoothedAt, DEMAND_MS)) return;
+    if (now < later(smoothedAt, LOAD_SAMPLE_MS)) return;
     smoothedAt = now;
     for (const [model, work] of options.offeredLoad()) {
-      const before = smoothed.get(model) ?? work;
-      smoothed.set(model, before + DEMAND_SMOOTHING * (work - before));
+      const before = smoothedLoad.get(model) ?? work;
+      smoothedLoad.set(model, before + LOAD_SMOOTHING * (work - before));
     }
   };
 
-  const begin = (fencing: FencingNumber): void => {
+  const beginTerm = (fencing: FencingNumber): void => {
     term = fencing;
     states = new Map();
   };
@@ -110,12 +122,12 @@
     fencing: FencingNumber,
   ): FormingView | undefined => {
     if (!engine || engine.models.length === 0) return undefined;
-    const own = [...roster.servers].filter(([, { service }]) => service === name);
-    const lapsed = [...roster.lapsed].filter(([, { service }]) => service === name);
-    const { ended } = roster;
-    const servers = new Map(own);
+    const current = [...serverRegistry.servers].filter(([, { service }]) => service === name);
+    const lapsed = [...serverRegistry.lapsed].filter(([, { service }]) => service === name);
+    const { ended } = serverRegistry;
+    const servers = new Map(current);
     const view = { servers, lapsed: new Map(lapsed), ended, engine, fencing, hasTraffic };
-    return hasTraffic && smoothed.size > 0 ? { ...view, offeredLoad: smoothed } : view;
+    return hasTraffic && smoothedLoad.size > 0 ? { ...view, offeredLoad: smoothedLoad } : view;
   };
 
   const send = async (
@@ -170,19 +182,19 @@
     }
   };
 
-  /** Plans again soon after the last plan, and not at once, where that one took long. */
+  /** Plans now, or after a delay if the last plan took long. */
   const tick = (): void => {
     const startedAt = clock.now();
     if (startedAt < planDueAt) {
-      planTimer ??= setTimeout(planLater, Math.ceil(planDueAt - startedAt));
+      planTimer ??= setTimeout(runDeferredPlan, Math.ceil(planDueAt - startedAt));
       return;
     }
     plan();
     const now = clock.now();
-    planDueAt = later(now, (now - startedAt) * (1 / PLAN_SHARE - 1));
+    planDueAt = later(now, (now - startedAt) * (1 / MAX_PLAN_SHARE - 1));
   };
 
-  const planLater = (): void => {
+  const runDeferredPlan = (): void => {
     planTimer = undefined;
     tick();
   };
@@ -190,32 +202,32 @@
   const plan = (): void => {
     const fencing = leadership.heldFencing();
     const table = routes();
-    if (fencing === undefined || !table || roster.watch.isFailing()) return;
-    if (fencing !== term) begin(fencing);
-    noteDemand();
+    if (fencing === undefined || !table || serverRegistry.watch.isFailing()) return;
+    if (fencing !== term) beginTerm(fencing);
+    updateSmoothedLoad();
     for (const service of table.config.services) planService(service, fencing);
     if ([...states.values()].some(({ epochCount: epochs }) => epochs >= EPOCHS_PER_LEASE / 2)) {
       leadership.release();
     }
   };
 
-  /** Whether the server reports, by the first or the second question. */
-  const answers = async (server: BackendServer): Promise<boolean> => {
-    const ask = async (timeoutMs: number): Promise<boolean> =>
+  /** Whether the server sends a report, on the first or the second request. */
+  const isResponding = async (server: BackendServer): Promise<boolean> => {
+    const requestReport = async (timeoutMs: number): Promise<boolean> =>
       (await servers.report(server, timeoutMs)).isOk();
-    const first = ask(REPORT_TIMEOUT_MS);
-    const isQuick = await Promise.race([first, pause(SECOND_REPORT_MS).then(() => false)]);
-    if (isQuick) return true;
-    const both = await Promise.all([first, ask(REPORT_TIMEOUT_MS - SECOND_REPORT_MS)]);
+    const first = requestReport(REPORT_TIMEOUT_MS);
+    const hasAnswered = await Promise.race([first, pause(RETRY_REPORT_MS).then(() => false)]);
+    if (hasAnswered) return true;
+    const both = await Promise.all([first, requestReport(REPORT_TIMEOUT_MS - RETRY_REPORT_MS)]);
     return both.includes(true);
   };
 
   const inspect = ({ group, head }: Stall): void => {
     const now = clock.now();
-    const again = inspected.get(group);
-    if (leadership.heldFencing() === undefined || (again !== undefined && now < again)) return;
-    inspected.set(group, later(now, INSPECT_AGAIN_MS));
-    const members = [...roster.servers.values(), ...roster.lapsed.values()].filter(
+    const nextAt = nextInspectionAt.get(group);
+    if (leadership.heldFencing() === undefined || (nextAt !== undefined && now < nextAt)) return;
+    nextInspectionAt.set(group, later(now, INSPECT_INTERVAL_MS));
+    const members = [...serverRegistry.servers.values(), ...serverRegistry.lapsed.values()].filter(
       ({ membership }) => membership?.group === group,
     );
     void inspectMembers(group, head, members);
@@ -226,8 +238,8 @@
     head: InstanceId,
     members: readonly BackendServer[],
   ): Promise<void> => {
-    const alive = await Promise.all(members.map(answers));
-    const lost = members.filter((_, i) => !alive[i]);
+    const responding = await Promise.all(members.map(isResponding));
+    const lost = members.filter((_, i) => !responding[i]);
     logger.info('members asked', {
       step: 'inspect',
       group,
@@ -235,11 +247,16 @@
       members: members.length,
       lost: lost.map(({ id }) => id).join(' '),
     });
-    // No answer from any of them speaks of this daemon's own link as much as of the members.
-    if (lost.length === members.length && members.length > 1 && !(await reachesOthers(members)))
+    // If no member answers, this daemon's own link may be down: check it against other domains
+    // first.
+    if (
+      lost.length === members.length &&
+      members.length > 1 &&
+      !(await canReachOtherDomains(members))
+    )
       return;
     for (const { id, service } of lost) {
-      states.set(service, noteSuspect(stateOf(service), id, later(clock.now(), LOST_MS)));
+      states.set(service, noteSuspect(stateOf(service), id, later(clock.now(), LOST_EXCLUSION_MS)));
     }
     if (lost.length === 0) return;
     if (!isStandby(group)) lostGroups.next({ group, head });
@@ -247,29 +264,32 @@
   };
 
   /**
-   * A member whose entry has gone may be lost, or may have lost touch with the list and with this
-   * daemon alone. Streams of its group tell by going on or by falling silent; a group without any is
-   * asked.
+   * A member whose entry expired may be lost, or may only be cut off from the store and from this
+   * daemon. If its group has streams, their events or their silence decide; an idle group is
+   * inspected.
    */
   const inspectLapsed = (): void => {
-    for (const { id, membership } of roster.lapsed.values()) {
-      if (asked.has(id)) continue;
-      asked.add(id);
+    for (const { id, membership } of serverRegistry.lapsed.values()) {
+      if (inspectedLapsed.has(id)) continue;
+      inspectedLapsed.add(id);
       if (membership && !isBusy(membership.group)) inspect({ group: membership.group, head: id });
     }
-    for (const id of asked) if (!roster.lapsed.has(id)) asked.delete(id);
+    for (const id of inspectedLapsed)
+      if (!serverRegistry.lapsed.has(id)) inspectedLapsed.delete(id);
   };
 
-  roster.changes.subscribe(inspectLapsed);
+  serverRegistry.changes.subscribe(inspectLapsed);
 
-  /** Whether any engine server of another domain answers; plain servers give no reports. */
-  const reachesOthers = async (members: readonly BackendServer[]): Promise<boolean> => {
-    const own = members[0]?.domain;
-    const others = [...roster.servers.values()]
-      .filter(({ domain }) => domain !== undefined && domain !== own)
+  /**
+   * Whether any engine server of another domain answers; servers of plain services give no reports.
+   */
+  const canReachOtherDomains = async (members: readonly BackendServer[]): Promise<boolean> => {
+    const ownDomain = members[0]?.domain;
+    const others = [...serverRegistry.servers.values()]
+      .filter(({ domain }) => domain !== undefined && domain !== ownDomain)
       .slice(0, 2);
-    const alive = await Promise.all(others.map(answers));
-    return alive.includes(true);
+    const responding = await Promise.all(others.map(isResponding));
+    return responding.includes(true);
   };
 
   return {
--- a/src/app/gateway/group-registry.ts
+++ b/src/app/gateway/group-registry.ts
@@ -1,4 +1,4 @@
-/** The groups that streams may be sent to, with what is known of their load and health. */
+/** Registry of the groups that streams can be sent to, with the known load and health of each. */
 
 import { Subject } from 'rxjs';
 import type { BehaviorSubject, Observable } from 'rxjs';
@@ -47,81 +47,91 @@
   readonly head: InstanceId;
 }
 
-/** What a stream needs of a group. */
+/** Requirements of a stream on its group. */
 export interface GroupNeeds {
   readonly service: ServiceId;
   readonly model: ModelId;
-  /** Longest pause between events that its caller takes for on time, milliseconds. */
+  /** Longest pause between events that its caller still counts as on time, milliseconds. */
   readonly maxPauseMs: number;
-  /** Heads of the groups that it was sent to before. */
+  /** Heads of the groups that it was already sent to. */
   readonly tried: ReadonlySet<InstanceId>;
 }
 
 export interface GroupRegistry {
-  /** Groups of a model that are open and not under suspicion. */
+  /** Open, unsuspected groups of a model for which this daemon has a token. */
   candidates(needs: GroupNeeds): GroupCandidate[];
-  /** Those of the groups that a request of this daemon may be sent to. */
+  /** Selects the groups that a request of this daemon may be sent to. */
   admit(
     model: ModelId,
     groups: readonly GroupCandidate[],
-    asked: Omit<ModelOfferedLoad, 'elsewhere'>,
+    offered: Omit<ModelOfferedLoad, 'remote'>,
   ): Admission;
-  /** Places in the group that this daemon has to itself. */
+  /** Free slots of the group that are reserved for this daemon. */
   grantedSlots(head: InstanceId): number;
   /** Whether any group of the model is open, suspected or not. */
   hasOpenGroup(service: ServiceId, model: ModelId | undefined): boolean;
-  /** Time until a group of the model may be sent a request from here, by what servers said of themselves, milliseconds. */
+  /**
+   * Time until this daemon may send a request to a group of the model under the servers' rate
+   * limits and backoffs, milliseconds.
+   */
   msUntilToken(service: ServiceId, model: ModelId): number;
-  /** The same from any daemon. */
+  /** Like `msUntilToken`, but for a request from any daemon. */
   msUntilAccepted(service: ServiceId, model: ModelId): number;
   find(head: InstanceId): ServingGroup | undefined;
-  /** Requests of the other daemons in the group, as far as is known here. */
+  /** Requests of the other daemons in the group, as far as this daemon knows. */
   runningOnPeers(head: InstanceId): number;
   /** Whether any daemon has streams running in the group. */
   isBusy(group: GroupId): boolean;
   noteSent(head: InstanceId, promptTokens: number): void;
-  /** The first event of a request came: its prompt has been read. */
+  /** Notes the first event of a request: its prefill is done. */
   notePrefilled(head: InstanceId, promptTokens: number): void;
-  /** `unread`: tokens of the prompt, where no event came; `holdMs`: how long it had its place, where one came. */
-  noteEnded(head: InstanceId, unread: number, holdMs?: number): void;
+  /**
+   * `pendingPrefill`: prompt tokens of a request that gave no event; `holdMs`: how long a request
+   * that gave one held its slot.
+   */
+  noteEnded(head: InstanceId, pendingPrefill: number, holdMs?: number): void;
   noteEvent(head: InstanceId, pauseMs: number | undefined): void;
-  /** The group surely stands still: this daemon's streams in it are moved as well. */
+  /** Moves this daemon's streams out of a group that is confirmed to be stalled. */
   evacuate(stall: Stall): void;
-  /** Groups that surely stand still, as `abandon` was told. */
+  /** Stalls passed to `evacuate`. */
   readonly evacuated: Observable<Stall>;
-  /** Sends nothing to the group for a while. False where that was so before. */
+  /** Suspends the group for a while. Returns false if it was already suspended. */
   suspect(group: GroupId, evidence: Evidence, reason: string): boolean;
-  /** Holds back from a group whose head could not be reached, and tells of it. */
+  /** Suspends a group whose head could not be reached, and publishes that. */
   noteUnreachable(stall: Stall, reason: string): void;
-  /** Groups whose heads could not be reached from here. */
+  /** Groups whose heads this daemon could not reach. */
   readonly unreachable: Observable<Stall>;
-  /** Groups whose streams have all gone silent, as found by `tick`. */
+  /** Groups in which all streams of this daemon are silent, as found by `tick`. */
   readonly stalls: Observable<Stall>;
-  /** After a change of the groups, and when a place in one became free. */
+  /** Emits when the groups change and when a slot becomes free. */
   readonly changes: Observable<void>;
-  /** Requests of this daemon and their unread prompt tokens, by head. */
+  /** Requests of this daemon and their pending prefill tokens, by head. */
   running(): readonly (readonly [InstanceId, number, number])[];
-  /** Groups with requests of this daemon: time since any gave an event, milliseconds, by head. */
+  /**
+   * Time since the last event of each group with requests of this daemon, milliseconds, by head.
+   */
   quiet(): readonly (readonly [InstanceId, number])[];
-  /** When a stream of this daemon last had an event of the group. */
+  /** When a stream of this daemon last got an event from the group. */
   lastEventAt(head: InstanceId): MonoTime | undefined;
-  /** Paces of groups as this daemon saw them of late, by head. */
+  /** Slowdown factors of groups as this daemon recently measured them, by head. */
   paces(): readonly (readonly [InstanceId, number])[];
   /**
-   * What the other daemons have running and waiting, together, and the paces that all saw. `ageMs`: what
-   * happened longer ago is in it.
+   * Applies the summed load of the other daemons and the slowdowns that all daemons measured.
+   * `ageMs`: the sums include everything that happened longer ago than this.
    */
   applyLoads(sums: LoadSums, facts: LoadSnapshot): void;
-  /** Whether the loads of the others are known, and young. */
+  /** Whether the load of the other daemons is known and fresh. */
   hasPeerLoads(): boolean;
-  /** Work of each model over all daemons: requests that run or wait, in full groups. */
+  /** Offered load of each model over all daemons: running and waiting requests, in full batches. */
   offeredLoad(): ReadonlyMap<ModelId, number>;
-  /** Places of each model, the requests of all daemons in them, and those that wait for one. */
+  /**
+   * Slots of each model, the requests of all daemons in them, and the requests that wait for one.
+   */
   work(waiting: readonly WaitingLoad[]): readonly ModelWork[];
   tick(): void;
 }
 
-type Turnover = Pick<GroupCapacity, 'running' | 'batchSize' | 'queued' | 'departing'>;
+type GroupOccupancy = Pick<GroupCapacity, 'running' | 'batchSize' | 'queued' | 'departing'>;
 
 export interface LoadSnapshot extends LoadSource {
   readonly ageMs: number;
@@ -129,122 +139,128 @@
 
 export function createGroupRegistry(
   ctx: GatewayContext,
-  roster: ServerRegistry,
+  serverRegistry: ServerRegistry,
   routes: BehaviorSubject<RouteTable | undefined>,
-  allowances: Throttle,
+  throttle: Throttle,
 ): GroupRegistry {
   const { clock, logger } = ctx;
   const progress = new Map<InstanceId, Progress>();
   let suspicions: Suspicions = new Map();
-  const others = createPeerLoads(ctx);
-  const rooms = createSlotAdmission(ctx);
+  const peerLoads = createPeerLoads(ctx);
+  const admission = createSlotAdmission(ctx);
   const stalls = new Subject<Stall>();
-  const abandoned = new Subject<Stall>();
+  const evacuated = new Subject<Stall>();
   const unreachable = new Subject<Stall>();
   const changes = new Subject<void>();
-  const directory = createGroupIndex(ctx, roster, routes);
-  const groups = (): ReadonlyMap<InstanceId, ServingGroup> => directory.groups();
+  const groupIndex = createGroupIndex(ctx, serverRegistry, routes);
+  const groups = (): ReadonlyMap<InstanceId, ServingGroup> => groupIndex.groups();
 
   const progressOf = (head: InstanceId): Progress =>
     progress.get(head) ?? createProgress(clock.now());
 
   const runningIn = (head: InstanceId): number =>
-    (progress.get(head)?.running ?? 0) + others.running(head);
+    (progress.get(head)?.running ?? 0) + peerLoads.running(head);
 
-  const unreadIn = (head: InstanceId): number =>
-    (progress.get(head)?.pendingPrefill ?? 0) + others.unread(head);
+  const pendingPrefillIn = (head: InstanceId): number =>
+    (progress.get(head)?.pendingPrefill ?? 0) + peerLoads.pendingPrefill(head);
 
-  /** Time that the prompts sent to the group take to be read, milliseconds. */
-  const readingMs = ({ head, engine, spec }: ServingGroup): number =>
-    (spec.pace * unreadIn(head.id)) / engine.prefillTokensPerMs;
+  /** Time to prefill the prompts that were sent to the group, milliseconds. */
+  const prefillMs = ({ head, engine, spec }: ServingGroup): number =>
+    (spec.pace * pendingPrefillIn(head.id)) / engine.prefillTokensPerMs;
 
-  const usualOf = ({ engine, spec, head }: ServingGroup): number =>
+  const expectedPauseOf = ({ engine, spec, head }: ServingGroup): number =>
     expectedPauseMs(engine, spec.pace, runningIn(head.id));
 
-  const ownPace = (group: ServingGroup): number | undefined => {
+  const localSlowdown = (group: ServingGroup): number | undefined => {
     const seen = progress.get(group.head.id);
-    return seen && slowdownOf(seen, usualOf(group), clock.now());
+    return seen && slowdownOf(seen, expectedPauseOf(group), clock.now());
   };
 
-  /** The slower of what this daemon and all together saw: one of them may have seen it later. */
-  const paceOf = (group: ServingGroup): number =>
-    Math.max(ownPace(group) ?? 1, others.pace(group.head.id));
+  /**
+   * The greater of this daemon's measurement and the fleet's mean: either may be the more recent.
+   */
+  const currentSlowdown = (group: ServingGroup): number =>
+    Math.max(localSlowdown(group) ?? 1, peerLoads.pace(group.head.id));
 
-  /** The requests that the group has and may have, and those that leave it until loads are heard of again. */
-  const turnoverOf = ({ head, engine, spec }: ServingGroup): Turnover => {
+  /**
+   * Current and permitted requests of the group, and those expected to end before the next load
+   * update.
+   */
+  const occupancyOf = ({ head, engine, spec }: ServingGroup): GroupOccupancy => {
     const { batchSize } = engine;
     const running = runningIn(head.id);
-    const inPlaces = Math.min(running, batchSize);
-    const holdMs = rooms.holdMs(spec.name) ?? publishedHoldMs(engine, spec.pace, inPlaces);
-    const slackMs = rooms.slackMs(spec.name) ?? 0;
+    const occupiedSlots = Math.min(running, batchSize);
+    const holdMs = admission.holdMs(spec.name) ?? publishedHoldMs(engine, spec.pace, occupiedSlots);
+    const slackMs = admission.slackMs(spec.name) ?? 0;
     return {
       running,
       batchSize,
       queued: maxQueued(batchSize, { slackMs, holdMs }),
-      departing: departuresIn({ running, batchSize }, rooms.loadAgeMs(), holdMs),
+      departing: departuresIn({ running, batchSize }, admission.loadAgeMs(), holdMs),
     };
   };
 
   const toCandidate = (group: ServingGroup, { maxPauseMs, tried }: GroupNeeds): GroupCandidate => {
     const { head, engine, spec } = group;
-    const turnover = turnoverOf(group);
-    const { running, batchSize } = turnover;
+    const occupancy = occupancyOf(group);
+    const { running, batchSize } = occupancy;
     const load = {
       ...{ running, batchSize },
-      pendingPrefill: unreadIn(head.id),
+      pendingPrefill: pendingPrefillIn(head.id),
       maxPendingPrefill: maxPrefillTokens(engine, spec.pace, running, maxPauseMs),
     };
-    const promptTokens = engine.usual.prompt;
-    const prefills = (rooms.loadAgeMs() * engine.prefillTokensPerMs) / (spec.pace * promptTokens);
-    const room = {
+    const meanPromptTokens = engine.usual.prompt;
+    const prefillsUntilUpdate =
+      (admission.loadAgeMs() * engine.prefillTokensPerMs) / (spec.pace * meanPromptTokens);
+    const capacity = {
       ...load,
-      ...turnover,
-      meanPromptTokens: promptTokens,
-      prefillsUntilUpdate: prefills,
+      ...occupancy,
+      meanPromptTokens,
+      prefillsUntilUpdate,
     };
-    const turns = allowances.tokens(head.id);
+    const tokens = throttle.tokens(head.id);
     return {
       ...load,
       head: head.id,
       zone: head.zone,
-      freeCapacity: Math.min(turns, freeCapacityOf(room)),
-      freeSlots: Math.min(turns, freeCapacityOf({ ...room, departing: 0 })),
-      slowdown: paceOf(group),
+      freeCapacity: Math.min(tokens, freeCapacityOf(capacity)),
+      freeSlots: Math.min(tokens, freeCapacityOf({ ...capacity, departing: 0 })),
+      slowdown: currentSlowdown(group),
       isTried: tried.has(head.id),
     };
   };
 
-  const freePlace = (group: ServingGroup, holdMs: number | undefined): void => {
+  const releaseSlot = (group: ServingGroup, holdMs: number | undefined): void => {
     const { id, head, model } = group;
-    if (holdMs !== undefined) rooms.noteHold(model, holdMs);
-    if (!isHeld(id) && ctx.random.next() < reuseProbability(turnoverOf(group)))
-      rooms.noteSlotFreed(head.id);
+    if (holdMs !== undefined) admission.noteHold(model, holdMs);
+    if (!isSuspected(id) && ctx.random.next() < reuseProbability(occupancyOf(group)))
+      admission.noteSlotFreed(head.id);
   };
 
-  const isHeld = (group: GroupId): boolean => isSuspect(suspicions, group, clock.now());
+  const isSuspected = (group: GroupId): boolean => isSuspect(suspicions, group, clock.now());
 
   const suspect = (group: GroupId, evidence: Evidence, reason: string): boolean => {
-    const isNew = !isHeld(group);
+    const isNew = !isSuspected(group);
     suspicions = noteEvidence(suspicions, group, evidence, clock.now());
     if (isNew) logger.warn('group suspected', { step: 'board', group, evidence, reason });
     return isNew;
   };
 
-  const ofModel = (service: ServiceId, model: ModelId): ServingGroup[] =>
+  const groupsOfModel = (service: ServiceId, model: ModelId): ServingGroup[] =>
     [...groups().values()].filter((group) => group.service === service && group.model === model);
 
-  const silence = createStallDetector(clock);
+  const stallDetector = createStallDetector(clock);
 
   const findStalls = (): void => {
     for (const [head, seen] of progress) {
       const group = seen.running > 0 ? groups().get(head) : undefined;
-      if (!group || isHeld(group.id)) continue;
-      const reason = silence.detect(seen, {
-        usualMs: usualOf(group),
-        readingMs: readingMs(group),
+      if (!group || isSuspected(group.id)) continue;
+      const reason = stallDetector.detect(seen, {
+        expectedPauseMs: expectedPauseOf(group),
+        prefillMs: prefillMs(group),
         running: runningIn(head),
-        hasPeerLoads: others.areFresh(),
-        runningOnPeers: others.running(head),
+        hasPeerLoads: peerLoads.areFresh(),
+        runningOnPeers: peerLoads.running(head),
       });
       if (reason === undefined) continue;
       suspect(group.id, 'silent', reason);
@@ -252,47 +268,48 @@
     }
   };
 
-  directory.changes.subscribe(changes);
+  groupIndex.changes.subscribe(changes);
 
   return {
     stalls,
-    evacuated: abandoned,
+    evacuated,
     unreachable,
     noteUnreachable: (stall, reason) => {
       if (suspect(stall.group, 'unreachable', reason)) unreachable.next(stall);
     },
     evacuate: (stall) => {
-      abandoned.next(stall);
+      evacuated.next(stall);
     },
     changes,
     candidates: (needs) =>
-      ofModel(needs.service, needs.model)
-        .filter(({ id, head }) => !isHeld(id) && allowances.tokens(head.id) >= 1)
+      groupsOfModel(needs.service, needs.model)
+        .filter(({ id, head }) => !isSuspected(id) && throttle.tokens(head.id) >= 1)
         .map((group) => toCandidate(group, needs)),
-    admit: (model, found, asked) =>
-      rooms.admit(model, found, { ...asked, elsewhere: others.offeredLoad(model) }),
-    grantedSlots: (head) => rooms.grantedSlots(head),
-    hasOpenGroup: (service, model) => model !== undefined && ofModel(service, model).length > 0,
+    admit: (model, found, offered) =>
+      admission.admit(model, found, { ...offered, remote: peerLoads.offeredLoad(model) }),
+    grantedSlots: (head) => admission.grantedSlots(head),
+    hasOpenGroup: (service, model) =>
+      model !== undefined && groupsOfModel(service, model).length > 0,
     msUntilToken: (service, model) =>
-      minOrZero(ofModel(service, model).map(({ head }) => allowances.msUntilToken(head.id))),
+      minOrZero(groupsOfModel(service, model).map(({ head }) => throttle.msUntilToken(head.id))),
     msUntilAccepted: (service, model) =>
-      minOrZero(ofModel(service, model).map(({ head }) => allowances.msUntilAccepted(head.id))),
+      minOrZero(groupsOfModel(service, model).map(({ head }) => throttle.msUntilAccepted(head.id))),
     find: (head) => groups().get(head),
-    runningOnPeers: (head) => others.running(head),
+    runningOnPeers: (head) => peerLoads.running(head),
     isBusy: (group) =>
       [...groups().values()].some(({ id, head }) => id === group && runningIn(head.id) > 0),
     noteSent: (head, promptTokens) => {
       progress.set(head, noteSent(progressOf(head), clock.now(), promptTokens));
-      rooms.noteSent(head);
-      allowances.takeToken(head);
+      admission.noteSent(head);
+      throttle.takeToken(head);
     },
     notePrefilled: (head, promptTokens) => {
       progress.set(head, notePrefilled(progressOf(head), promptTokens));
     },
-    noteEnded: (head, unread, holdMs) => {
+    noteEnded: (head, pendingPrefill, holdMs) => {
       const group = groups().get(head);
-      if (group) freePlace(group, holdMs);
-      progress.set(head, noteEnded(progressOf(head), unread));
+      if (group) releaseSlot(group, holdMs);
+      progress.set(head, noteEnded(progressOf(head), pendingPrefill));
       changes.next();
     },
     noteEvent: (head, pauseMs) => {
@@ -302,12 +319,12 @@
     running: () =>
       [...progress]
         .filter(([, { running }]) => running > 0)
-        .map(([head, { running, pendingPrefill: unread }]) => [head, running, unread] as const),
+        .map(([head, { running, pendingPrefill }]) => [head, running, pendingPrefill] as const),
     paces: () =>
       [...progress.keys()].flatMap((head) => {
         const group = groups().get(head);
-        const pace = group && ownPace(group);
-        return pace === undefined ? [] : [[head, pace] as const];
+        const slowdown = group && localSlowdown(group);
+        return slowdown === undefined ? [] : [[head, slowdown] as const];
       }),
     quiet: () => {
       const now = clock.now();
@@ -316,23 +333,23 @@
       );
     },
     lastEventAt: (head) => progress.get(head)?.eventAt,
-    hasPeerLoads: () => others.areFresh(),
+    hasPeerLoads: () => peerLoads.areFresh(),
     applyLoads: (sums, { ageMs, ...facts }) => {
-      if (others.apply(sums, facts)) rooms.noteLoads(ageMs);
+      if (peerLoads.apply(sums, facts)) admission.noteLoads(ageMs);
       changes.next();
     },
     offeredLoad: () => {
-      const demand = new Map<ModelId, number>();
+      const offered = new Map<ModelId, number>();
       for (const { engine } of routes.value?.config.services ?? []) {
         for (const { name } of engine?.models ?? []) {
-          demand.set(name, others.offeredLoad(name).waiting / (engine?.batchSize ?? 1));
+          offered.set(name, peerLoads.offeredLoad(name).waiting / (engine?.batchSize ?? 1));
         }
       }
       for (const { head, model, engine } of groups().values()) {
-        const work = runningIn(head.id) / engine.batchSize;
-        demand.set(model, (demand.get(model) ?? 0) + work);
+        const groupLoad = runningIn(head.id) / engine.batchSize;
+        offered.set(model, (offered.get(model) ?? 0) + groupLoad);
       }
-      return demand;
+      return offered;
     },
     work: (waiting) =>
       summarizeWork(
@@ -340,17 +357,17 @@
           model,
           running: runningIn(head.id),
           batchSize: engine.batchSize,
-          isSuspect: isHeld(id),
+          isSuspect: isSuspected(id),
         })),
         waiting,
       ),
     tick: () => {
       groups();
-      if (allowances.tick()) changes.next();
-      silence.tick();
+      if (throttle.tick()) changes.next();
+      stallDetector.tick();
       findStalls();
       for (const [head, { running }] of progress) {
-        if (running === 0 && !roster.servers.has(head)) progress.delete(head);
+        if (running === 0 && !serverRegistry.servers.has(head)) progress.delete(head);
       }
     },
   };
--- a/src/app/gateway/peer-loads.ts
+++ b/src/app/gateway/peer-loads.ts
@@ -21,7 +21,7 @@
   areFresh(): boolean;
   /** Requests of the others in a group, and the prompt tokens of those without an event. */
   running(head: InstanceId): number;
-  unread(head: InstanceId): number;
+  pendingPrefill(head: InstanceId): number;
   /** How many times slower than usual a group is, as all saw it. */
   pace(head: InstanceId): number;
   /** Requests of the others that wait for a model, and those that come to them. */
@@ -60,7 +60,7 @@
     },
     areFresh: () => clock.now() < knownUntil,
     running: (head) => running.get(head)?.[0] ?? 0,
-    unread: (head) => running.get(head)?.[1] ?? 0,
+    pendingPrefill: (head) => running.get(head)?.[1] ?? 0,
     pace: (head) => paces.get(head) ?? 1,
     offeredLoad: (model) => waiting.get(model) ?? NOTHING_ASKED,
   };
--- a/src/app/gateway/plain-call.ts
+++ b/src/app/gateway/plain-call.ts
@@ -1,6 +1,6 @@
 /**
- * A call of a plain service. Its answer is held whole and checked before any of it is passed on, so a
- * safe call can be tried again at another server; an unsafe one is sent once.
+ * Proxies a call to a plain service. The answer is buffered completely and checked before it is
+ * forwarded, so that a safe call can be retried at another server; an unsafe one is sent once.
  */
 
 import type { IncomingMessage } from 'node:http';
@@ -43,14 +43,14 @@
   call(exchange: Exchange): Promise<void>;
 }
 
-/** What was seen of one server. */
+/** Measurements of one server. */
 interface ServerRecord {
   running: number;
   failures: number;
   latencyMs: number | undefined;
 }
 
-/** How one send ended. */
+/** Result of one attempt. */
 type Attempt =
   | {
       readonly kind: 'answered';
@@ -60,23 +60,25 @@
     }
   /** No connection to the server. */
   | { readonly kind: 'not-sent'; readonly reason: string }
-  /** The server says that it did not run the call. */
+  /** The server states that it did not execute the call. */
   | { readonly kind: 'not-run'; readonly reason: string }
   | { readonly kind: 'lost'; readonly reason: string };
 
 /** Weight of the latest call in a server's running means. */
 const SMOOTHING = 0.15;
-/** A safe call that may be sent again leaves a silent server after this share of the time it has left. */
-const FIRST_TRY_SHARE = 0.45;
-/** Answers above this are not held; far above what plain services send. */
+/**
+ * A safe call that can be retried leaves a silent server after this share of its remaining time.
+ */
+const FIRST_ATTEMPT_SHARE = 0.45;
+/** Limit on buffered answers; far above what plain services send. */
 const MAX_ANSWER_BYTES = 16 * 1024 * 1024;
 const FIRST_SERVER_ERROR = 500;
 
-const NONE_KNOWN = 'no server of the service is known';
-const NONE_TAKES = 'the servers of the service take no more now';
+const NO_SERVER = 'no server of the service is known';
+const NO_CAPACITY = 'all servers of the service are rate-limited or backing off';
 
 export function createPlainCalls(deps: PlainDeps): PlainCalls {
-  const { ctx, roster, retries, throttle: allowances } = deps;
+  const { ctx, roster: serverRegistry, retries, throttle } = deps;
   const records = new Map<InstanceId, ServerRecord>();
 
   const recordOf = (id: InstanceId): ServerRecord => {
@@ -88,13 +90,13 @@
   };
 
   const serversOf = (service: ServiceId): BackendServer[] =>
-    [...roster.servers.values()].filter(
+    [...serverRegistry.servers.values()].filter(
       (server) => server.service === service && !server.isDraining,
     );
 
   const candidates = (service: ServiceId, tried: ReadonlySet<InstanceId>): PlainCandidate[] =>
     serversOf(service)
-      .filter(({ id }) => allowances.tokens(id) >= 1)
+      .filter(({ id }) => throttle.tokens(id) >= 1)
       .map(({ id, zone, batchSize }) => ({
         id,
         zone,
@@ -103,9 +105,12 @@
         isTried: tried.has(id),
       }));
 
-  /** Time until a server of the service takes a request, by what servers said of themselves, milliseconds. */
-  const whenAnyTakes = (service: ServiceId): number =>
-    minOrZero(serversOf(service).map(({ id }) => allowances.msUntilAccepted(id)));
+  /**
+   * Time until a server of the service accepts a request, under their rate limits and backoffs,
+   * milliseconds.
+   */
+  const msUntilAnyAccepts = (service: ServiceId): number =>
+    minOrZero(serversOf(service).map(({ id }) => throttle.msUntilAccepted(id)));
 
   const choose = (
     exchange: Exchange,
@@ -116,7 +121,7 @@
       ctx.settings.zone,
       ctx.random.next(),
     );
-    return found && roster.servers.get(found.id);
+    return found && serverRegistry.servers.get(found.id);
   };
 
   const attempt = async (
@@ -127,7 +132,7 @@
     const record = recordOf(server.id);
     const startedAt = ctx.clock.now();
     record.running += 1;
-    allowances.takeToken(server.id);
+    throttle.takeToken(server.id);
     const result = await sendOnce(deps, exchange, server, until);
     record.running -= 1;
     const hasFailed = result.kind !== 'answered' || isServerError(result.res);
@@ -139,8 +144,8 @@
     return result;
   };
 
-  /** `attempts`: servers that the call was sent to. One that could not be reached is no attempt. */
-  const mayTryAgain = (exchange: Exchange, attempts: number, result: Attempt): boolean => {
+  /** `attempts`: servers that the call was sent to. An unreachable server does not count. */
+  const canRetry = (exchange: Exchange, attempts: number, result: Attempt): boolean => {
     const { route, service } = exchange;
     if (exchange.gone.aborted || ctx.clock.now() >= exchange.answerBy) return false;
     if (result.kind === 'not-sent') return true;
@@ -149,11 +154,11 @@
     return isAllowed && retries.mayRetry(service);
   };
 
-  const patience = (exchange: Exchange, attempts: number): MonoTime => {
+  const attemptDeadline = (exchange: Exchange, attempts: number): MonoTime => {
     const { route, answerBy } = exchange;
     if (route.kind !== 'safe' || attempts + 1 >= route.maxAttempts) return answerBy;
     const now = ctx.clock.now();
-    return later(now, (answerBy - now) * FIRST_TRY_SHARE);
+    return later(now, (answerBy - now) * FIRST_ATTEMPT_SHARE);
   };
 
   const call = async (exchange: Exchange): Promise<void> => {
@@ -165,7 +170,7 @@
     for (;;) {
       const server = choose(exchange, tried);
       if (!server) break;
-      const result = await attempt(exchange, server, patience(exchange, attempts));
+      const result = await attempt(exchange, server, attemptDeadline(exchange, attempts));
       tried.add(server.id);
       if (result.kind !== 'not-sent') attempts += 1;
       if (exchange.gone.aborted) {
@@ -175,8 +180,8 @@
       }
       if (result.kind === 'answered') {
         const isRetriable = isServerError(result.res) && exchange.route.kind === 'safe';
-        if (!isRetriable || !mayTryAgain(exchange, attempts, result)) {
-          passOn(deps, exchange, result, server, attempts);
+        if (!isRetriable || !canRetry(exchange, attempts, result)) {
+          forwardAnswer(deps, exchange, result, server, attempts);
           return;
         }
         exposure = 'unknown';
@@ -185,15 +190,15 @@
       reason = result.reason;
       logFailedAttempt(ctx, exchange, { server: server.id, ended: result.kind, reason });
       if (result.kind === 'lost') exposure = 'unknown';
-      if (!mayTryAgain(exchange, attempts, result)) break;
+      if (!canRetry(exchange, attempts, result)) break;
     }
-    const takesInMs = whenAnyTakes(exchange.service);
-    const without = takesInMs > 0 ? NONE_TAKES : NONE_KNOWN;
+    const acceptedInMs = msUntilAnyAccepts(exchange.service);
+    const fallbackReason = acceptedInMs > 0 ? NO_CAPACITY : NO_SERVER;
     endUnanswered(ctx, exchange, {
       exposure,
-      reason: reason ?? without,
+      reason: reason ?? fallbackReason,
       attempts,
-      ...(takesInMs > 0 && { retryAfter: retryAfterDelay(takesInMs) }),
+      ...(acceptedInMs > 0 && { retryAfter: retryAfterDelay(acceptedInMs) }),
     });
   };
 
@@ -204,7 +209,7 @@
   return statusCode >= FIRST_SERVER_ERROR;
 }
 
-function passOn(
+function forwardAnswer(
   { ctx, dialect }: PlainDeps,
   exchange: Exchange,
   { res, body }: Extract<Attempt, { kind: 'answered' }>,
@@ -218,14 +223,14 @@
   logRequestEnd(ctx, exchange, { outcome: 'served', status, attempts, server: server.id });
 }
 
-/** Sends the call to one server and reads its whole answer, until `until` at the latest. */
+/** Sends the call to one server and reads its complete answer, until `until` at the latest. */
 async function sendOnce(
   deps: PlainDeps,
   exchange: Exchange,
   server: BackendServer,
   until: MonoTime,
 ): Promise<Attempt> {
-  const { ctx, upstream, dialect, throttle: allowances } = deps;
+  const { ctx, upstream, dialect, throttle } = deps;
   const now = ctx.clock.now();
   const limit = AbortSignal.any([
     exchange.gone,
@@ -248,67 +253,72 @@
     ownConnection: false,
     signal: limit,
     beforeSend: () => {
-      if (ctx.clock.now() >= until) return fail('deadline-exceeded', 'too late', { step: 'send' });
-      return allowances.isBackingOff(server.id) ? backoffError() : undefined;
+      if (ctx.clock.now() >= until)
+        return fail('deadline-exceeded', 'deadline reached before sending', { step: 'send' });
+      return throttle.isBackingOff(server.id) ? backoffError() : undefined;
     },
   });
   if (sent.kind === 'not-sent') return { kind: 'not-sent', reason: sent.error.message };
   if (sent.kind === 'lost') return { kind: 'lost', reason: sent.error.message };
-  return readWhole(deps, exchange, { server, sentAt: now, answered: sent, limit });
+  return readAnswer(deps, exchange, { server, sentAt: now, answered: sent, limit });
 }
 
-/** An answer with the send that brought it. */
-interface AnsweredBy {
+/** An answer, with the attempt that it belongs to. */
+interface SentAnswer {
   readonly server: BackendServer;
   readonly sentAt: MonoTime;
   readonly answered: Answered;
   readonly limit: AbortSignal;
 }
 
-async function readWhole(
-  { notices: statements }: PlainDeps,
+async function readAnswer(
+  { notices }: PlainDeps,
   exchange: Exchange,
-  { server, sentAt, answered, limit }: AnsweredBy,
+  { server, sentAt, answered, limit }: SentAnswer,
 ): Promise<Attempt> {
   const { res, destroy } = answered;
   const status = res.statusCode ?? 0;
-  const facts = statements.read(server.id, res, sentAt);
-  const lose = (reason: string): Attempt => {
+  const facts = notices.read(server.id, res, sentAt);
+  const discard = (reason: string): Attempt => {
     destroy();
     return { kind: 'lost', reason };
   };
   if (facts.requestId !== undefined && facts.requestId !== exchange.facts.requestId) {
-    return lose('answer to another request');
+    return discard('answer belongs to another request');
   }
   if (facts.isNotExecuted) {
     res.resume();
-    return { kind: 'not-run', reason: `server says not executed (${status})` };
+    return {
+      kind: 'not-run',
+      reason: `server reports the request as not executed (status ${status})`,
+    };
   }
   const body = await collect(res, limit);
-  if (!body || answered.hasFailed()) return lose('answer broken off');
-  if (!facts.isSigned && status < 300) return lose('answer without signature');
-  if (res.headers['content-encoding'] !== undefined) return lose('answer with an encoding');
+  if (!body || answered.hasFailed()) return discard('answer incomplete: connection broken');
+  if (!facts.isSigned && status < 300) return discard('answer is not signed');
+  if (res.headers['content-encoding'] !== undefined)
+    return discard('answer has an unexpected Content-Encoding');
   return { kind: 'answered', res, body, facts };
 }
 
-/** The whole body; undefined where it is not whole. */
+/** The complete body; undefined if it is incomplete. */
 function collect(res: IncomingMessage, limit: AbortSignal): Promise<Buffer | undefined> {
   return new Promise((resolve) => {
     const chunks: Buffer[] = [];
     let bytes = 0;
-    const giveUpReading = (): void => {
+    const stopReading = (): void => {
       resolve(undefined);
     };
     res.on('data', (chunk: Buffer) => {
       chunks.push(chunk);
       bytes += chunk.length;
-      if (bytes > MAX_ANSWER_BYTES) giveUpReading();
+      if (bytes > MAX_ANSWER_BYTES) stopReading();
     });
     res.on('end', () => {
       resolve(res.complete ? Buffer.concat(chunks) : undefined);
     });
-    res.on('error', giveUpReading);
-    res.on('close', giveUpReading);
-    limit.addEventListener('abort', giveUpReading, { once: true });
+    res.on('error', stopReading);
+    res.on('close', stopReading);
+    limit.addEventListener('abort', stopReading, { once: true });
   });
 }
--- a/src/app/gateway/rate-limits.ts
+++ b/src/app/gateway/rate-limits.ts
@@ -1,4 +1,6 @@
-/** What backend servers take a second, as all daemons share it, and this daemon's turns. */
+/**
+ * Rate limits that backend servers set for all daemons together, and this daemon's share of each.
+ */
 
 import * as knownLimits from '../../core/gateway/limits/known';
 import type { KnownLimits, LimitReport, LimitUpdate } from '../../core/gateway/limits/known';
@@ -16,22 +18,29 @@
 import type { GatewayContext } from './context';
 
 export interface RateLimits {
-  /** An answer of the server came. */
-  noteAnswer(server: InstanceId, said: LimitReport): void;
-  applyReport(told: readonly LimitUpdate[], source: string): void;
-  /** What servers said to this daemon, for its peers. */
+  /** Notes what an answer of the server said of its limit. */
+  noteAnswer(server: InstanceId, report: LimitReport): void;
+  applyReport(updates: readonly LimitUpdate[], source: string): void;
+  /** Limits that servers named to this daemon, for its peers. */
   report(): LimitUpdate[];
-  /** What servers said to anybody: all of it once a second and where it `isWanted`, else what has changed since the last call. */
-  reportToAll(isWanted: boolean): LimitUpdate[];
-  /** Requests that this daemon may send to the server now; infinite where the server named no limit. */
+  /**
+   * Limits that servers named to any daemon: all of them once a second or if `isForced`, otherwise
+   * those that changed since the last call.
+   */
+  reportToAll(isForced: boolean): LimitUpdate[];
+  /**
+   * Requests that this daemon may send to the server now; infinite if the server named no limit.
+   */
   tokens(server: InstanceId): number;
-  /** Takes a turn for a request that is being sent. */
+  /** Takes a token for a request that is being sent. */
   takeToken(server: InstanceId): void;
-  /** Time until this daemon has a turn, milliseconds: 0 where it has one, infinite where it will have none. */
+  /**
+   * Time until a token is available, milliseconds: 0 if one is, infinite if this daemon gets none.
+   */
   msUntilToken(server: InstanceId): number;
-  /** Time until the server takes a request of any daemon, milliseconds. */
+  /** Time until the server accepts a request from any daemon, milliseconds. */
   msUntilAccepted(server: InstanceId): number;
-  /** Whether turns have come for requests that wait. */
+  /** Whether tokens became available for waiting requests. */
   tick(): boolean;
 }
 
@@ -39,66 +48,66 @@
   /** Daemons that share the limits, this one included. */
   readonly daemons: () => readonly DaemonId[];
   readonly isRemoved: (server: InstanceId) => boolean;
-  /** Tells other daemons at once, whether or not anybody leads. */
-  readonly publish: (daemons: readonly DaemonId[], told: LimitUpdate[]) => void;
+  /** Sends updates to other daemons immediately, whether or not there is a leader. */
+  readonly publish: (daemons: readonly DaemonId[], updates: LimitUpdate[]) => void;
 }
 
-interface Part {
+interface ServerShare {
   readonly limitPerS: number;
   share: RateShare;
-  turns: ShareBucket;
-  /** Whether there was a turn when it was last looked for. */
-  hadTurn: boolean;
+  bucket: ShareBucket;
+  /** Whether a token was available at the last check. */
+  hadToken: boolean;
 }
 
-/** The daemons that share are looked up this often. */
-const DAEMONS_MS = 250;
-/** What a message that was lost told comes again after this. */
-const TELL_ALL_MS = 1_000;
+/** Interval at which the list of sharing daemons is refreshed. */
+const DAEMON_LOOKUP_MS = 250;
+/** Interval at which all limits are sent again, in case a message was lost. */
+const PUBLISH_ALL_MS = 1_000;
 
-/** Senders beyond these hear of a change with all the others. */
-const MOST_TOLD_AT_ONCE = 16;
+/** With more senders than this, a change reaches them with the regular updates only. */
+const MAX_DIRECT_SENDERS = 16;
 
 export function createRateLimits(
   ctx: GatewayContext,
-  { daemons, isRemoved: isGone, publish: tell }: RateLimitsOptions,
+  { daemons, isRemoved, publish }: RateLimitsOptions,
 ): RateLimits {
   const { clock, logger, settings } = ctx;
   let known: KnownLimits = new Map();
   let sharers: readonly DaemonId[] = [settings.id];
-  let lookAt = clock.now();
-  let tellAllAt = clock.now();
-  /** Limits as they were last told to all. */
-  let toldLast: KnownLimits = new Map();
-  const parts = new Map<InstanceId, Part>();
+  let nextLookupAt = clock.now();
+  let publishAllAt = clock.now();
+  /** Limits as last published to all daemons. */
+  let lastPublished: KnownLimits = new Map();
+  const shares = new Map<InstanceId, ServerShare>();
 
   const listSharers = (): readonly DaemonId[] => [...daemons()].sort(compareText);
 
-  const shareIn = (server: InstanceId, limitPerS: number): RateShare =>
+  const shareFor = (server: InstanceId, limitPerS: number): RateShare =>
     shareOf({ server, limitPerS, self: settings.id, daemons: sharers });
 
   const logShare = (server: InstanceId, limitPerS: number, { perSecond }: RateShare): void => {
-    const heardAt = known.get(server)?.receivedAt ?? clock.now();
+    const receivedAt = known.get(server)?.receivedAt ?? clock.now();
     logger.info('share of a limit', {
       step: 'limit',
       server,
       limitPerS,
-      ageMs: Math.round(clock.now() - heardAt),
+      ageMs: Math.round(clock.now() - receivedAt),
       daemons: sharers.length,
       perSecond: Number(perSecond.toFixed(3)),
     });
   };
 
-  const setPart = (server: InstanceId, limitPerS: number): void => {
-    const before = parts.get(server);
+  const setShare = (server: InstanceId, limitPerS: number): void => {
+    const before = shares.get(server);
     const now = clock.now();
-    const share = shareIn(server, limitPerS);
-    const turns = before ? refill(before.turns, before.share, now) : { tokens: 0, at: now };
+    const share = shareFor(server, limitPerS);
+    const bucket = before ? refill(before.bucket, before.share, now) : { tokens: 0, at: now };
     if (before?.share.perSecond !== share.perSecond) logShare(server, limitPerS, share);
-    parts.set(server, { limitPerS, share, turns, hadTurn: false });
+    shares.set(server, { limitPerS, share, bucket, hadToken: false });
   };
 
-  /** Brings the parts up to what is known, after a change of it. */
+  /** Replaces the known limits and updates the shares to match. */
   const update = (next: KnownLimits, source: string): void => {
     for (const [server, { perSecond }] of next) {
       const before = known.get(server)?.perSecond;
@@ -112,13 +121,13 @@
       });
     }
     known = next;
-    if (parts.size === 0) sharers = listSharers();
-    for (const server of parts.keys()) {
-      if (known.get(server)?.perSecond === undefined) parts.delete(server);
+    if (shares.size === 0) sharers = listSharers();
+    for (const server of shares.keys()) {
+      if (known.get(server)?.perSecond === undefined) shares.delete(server);
     }
     for (const [server, { perSecond }] of known) {
-      if (perSecond !== undefined && parts.get(server)?.limitPerS !== perSecond) {
-        setPart(server, perSecond);
+      if (perSecond !== undefined && shares.get(server)?.limitPerS !== perSecond) {
+        setShare(server, perSecond);
       }
     }
   };
@@ -127,87 +136,96 @@
     if (next !== known) update(next, source);
   };
 
-  /** Those that send to the server are told of a change by who hears it first: a fall binds them from then on. */
-  const tellSenders = (server: InstanceId, limits: readonly (number | undefined)[]): void => {
+  /**
+   * The daemon that learns of a change informs the other senders directly: a lower limit binds them
+   * from then on.
+   */
+  const notifySenders = (server: InstanceId, limits: readonly (number | undefined)[]): void => {
     const senders = new Set(
       limits.flatMap((limitPerS) =>
         limitPerS === undefined ? [] : sendersOf(server, limitPerS, sharers),
       ),
     );
     senders.delete(settings.id);
-    if (senders.size === 0 || senders.size > MOST_TOLD_AT_ONCE) return;
-    const told = knownLimits.listLimitUpdates(known, clock.now()).filter(([one]) => one === server);
-    tell([...senders], told);
+    if (senders.size === 0 || senders.size > MAX_DIRECT_SENDERS) return;
+    const updates = knownLimits
+      .listLimitUpdates(known, clock.now())
+      .filter(([id]) => id === server);
+    publish([...senders], updates);
   };
 
   const lookUpDaemons = (now: MonoTime): void => {
-    if (now < lookAt || known.size === 0) return;
-    lookAt = later(now, DAEMONS_MS);
-    apply(knownLimits.pruneLimits(known, isGone, now), 'forgotten');
+    if (now < nextLookupAt || known.size === 0) return;
+    nextLookupAt = later(now, DAEMON_LOOKUP_MS);
+    apply(knownLimits.pruneLimits(known, isRemoved, now), 'forgotten');
     const found = listSharers();
     if (found.join(' ') === sharers.join(' ')) return;
     sharers = found;
-    for (const [server, { limitPerS }] of parts) setPart(server, limitPerS);
+    for (const [server, { limitPerS }] of shares) setShare(server, limitPerS);
   };
 
-  const partOf = (server: InstanceId): Part | undefined => {
-    const part = parts.get(server);
-    if (part) part.turns = refill(part.turns, part.share, clock.now());
-    return part;
+  const refilledShare = (server: InstanceId): ServerShare | undefined => {
+    const serverShare = shares.get(server);
+    if (serverShare)
+      serverShare.bucket = refill(serverShare.bucket, serverShare.share, clock.now());
+    return serverShare;
   };
 
-  const turns = (server: InstanceId): number => {
-    const part = partOf(server);
-    return part ? Math.floor(part.turns.tokens) : Infinity;
+  const tokens = (server: InstanceId): number => {
+    const serverShare = refilledShare(server);
+    return serverShare ? Math.floor(serverShare.bucket.tokens) : Infinity;
   };
 
   return {
-    noteAnswer: (server, said) => {
+    noteAnswer: (server, report) => {
       const before = known.get(server)?.perSecond;
-      apply(knownLimits.noteAnswer(known, server, said, clock.now()), 'answer');
+      apply(knownLimits.noteAnswer(known, server, report, clock.now()), 'answer');
       const after = known.get(server)?.perSecond;
-      if (after !== before) tellSenders(server, [before, after]);
+      if (after !== before) notifySenders(server, [before, after]);
     },
-    applyReport: (told, source) => {
-      apply(knownLimits.mergeLimitUpdates(known, told, clock.now()), source);
+    applyReport: (updates, source) => {
+      apply(knownLimits.mergeLimitUpdates(known, updates, clock.now()), source);
     },
     report: () => knownLimits.listLimitUpdates(known, clock.now()),
-    reportToAll: (isWanted) => {
+    reportToAll: (isForced) => {
       const now = clock.now();
       const all = knownLimits.listLimitUpdates(known, now, { ofAll: true });
-      const isDue = isWanted || now >= tellAllAt;
-      if (isDue) tellAllAt = later(now, TELL_ALL_MS);
-      const isNews = ([server]: LimitUpdate): boolean =>
-        known.get(server)?.perSecond !== toldLast.get(server)?.perSecond;
-      const told = isDue ? all : all.filter(isNews);
-      toldLast = known;
-      return told;
+      const isDue = isForced || now >= publishAllAt;
+      if (isDue) publishAllAt = later(now, PUBLISH_ALL_MS);
+      const isChanged = ([server]: LimitUpdate): boolean =>
+        known.get(server)?.perSecond !== lastPublished.get(server)?.perSecond;
+      const updates = isDue ? all : all.filter(isChanged);
+      lastPublished = known;
+      return updates;
     },
-    tokens: turns,
+    tokens,
     takeToken: (server) => {
-      const part = partOf(server);
-      if (!part) return;
-      part.turns = { ...part.turns, tokens: part.turns.tokens - 1 };
+      const serverShare = refilledShare(server);
+      if (!serverShare) return;
+      serverShare.bucket = { ...serverShare.bucket, tokens: serverShare.bucket.tokens - 1 };
       ctx.metrics.count('nutmegstack_limited_sends_total');
     },
     msUntilToken: (server) => {
-      const part = partOf(server);
-      return part ? msUntilToken(part.turns, part.share) : 0;
+      const serverShare = refilledShare(server);
+      return serverShare ? msUntilToken(serverShare.bucket, serverShare.share) : 0;
     },
     msUntilAccepted: (server) => {
-      const part = partOf(server);
-      if (!part) return 0;
-      return Math.min(msUntilToken(part.turns, part.share), requestIntervalMs(part.limitPerS));
+      const serverShare = refilledShare(server);
+      if (!serverShare) return 0;
+      return Math.min(
+        msUntilToken(serverShare.bucket, serverShare.share),
+        requestIntervalMs(serverShare.limitPerS),
+      );
     },
     tick: () => {
       lookUpDaemons(clock.now());
-      let hasNew = false;
-      for (const [server, part] of parts) {
-        const hasTurn = turns(server) >= 1;
-        hasNew ||= hasTurn && !part.hadTurn;
-        part.hadTurn = hasTurn;
+      let hasNewToken = false;
+      for (const [server, serverShare] of shares) {
+        const hasToken = tokens(server) >= 1;
+        hasNewToken ||= hasToken && !serverShare.hadToken;
+        serverShare.hadToken = hasToken;
       }
-      return hasNew;
+      return hasNewToken;
     },
   };
 }
--- a/src/app/gateway/server-registry.ts
+++ b/src/app/gateway/server-registry.ts
@@ -1,12 +1,13 @@
 /**
- * The backend servers as this daemon believes them: the store's entries, or a peer's while the store
- * cannot be reached.
+ * Registry of the backend servers: the store's entries, or those of a peer while the store is
+ * unreachable.
  *
- * Entries lapse while the store is away, whether or not their servers live. A server whose entry went
- * then is kept for a short time after the store's return, and is gone only if its entry has not come back.
+ * Entries expire while the store is down, whether or not their servers are alive. A server whose
+ * entry expired in that time is kept for a short while after the store's return, and removed only
+ * if its entry does not come back.
  *
- * A store that comes back from an older copy shows servers as they were. What a server wrote later is
- * believed until it has written again, also that it leaves or has gone.
+ * A store restored from an older copy shows servers as they were. Later writes of a server,
+ * including that it is leaving or was removed, remain in force until it has written again.
  */
 
 import { Subject } from 'rxjs';
@@ -25,56 +26,75 @@
 import { hasFailedWithin, watchFeed } from './watch';
 import type { ChangeKind, Watch } from './watch';
 
-/** Servers that live enter themselves again within two seconds of the store's return; a little more for the way here. */
-const RETURN_MS = 2_300;
-/** Entries of servers that are gone are remembered for this long: as long as a cut from the store is likely to last. */
-const LAPSED_MS = 60_000;
+/**
+ * Servers that are alive register again within two seconds of the store's return; the rest is for
+ * the update to arrive.
+ */
+const REREGISTRATION_MS = 2_300;
+/**
+ * Removed servers are remembered for this long: as long as a disconnection from the store is likely
+ * to last.
+ */
+const REMOVED_RETENTION_MS = 60_000;
 
 export type ServerUpdates = CollectionUpdate<BackendServer>;
 
 export interface ServerRegistry {
-  /** Last known entries of servers whose entries are gone. Some of them live and serve on. */
+  /**
+   * Last known entries of servers whose entries expired. Some of these servers are still alive and
+   * serving.
+   */
   readonly lapsed: ReadonlyMap<InstanceId, BackendServer>;
   readonly servers: ReadonlyMap<InstanceId, BackendServer>;
-  /** Last known entries of lives that have surely ended, remembered for as long as lapsed ones. */
+  /**
+   * Last known entries of incarnations that have certainly ended, kept for as long as expired ones.
+   */
   readonly ended: ReadonlyMap<InstanceId, BackendServer>;
-  /** After each change. */
+  /** Emits after each change. */
   readonly changes: Observable<void>;
-  /** What the store reported, for peers that look less often. */
+  /** Updates received from the store, for peers that poll less often. */
   readonly news: Observable<ServerUpdates>;
   readonly watch: Watch;
-  /** Takes a peer's view, where it is newer and the store cannot be reached from here. */
+  /** Adopts a peer's view if it is newer and this daemon cannot reach the store. */
   adoptFromPeer(at: StorePosition, servers: readonly BackendServer[]): void;
-  /** Takes what a peer heard from the store, where it goes on from what is known here. */
-  applyUpdates(news: ServerUpdates): void;
-  /** The server itself said that it leaves, and holds to it for this life. False where that is known. */
+  /**
+   * Applies updates that a peer received from the store, if they continue from the known position.
+   */
+  applyUpdates(updates: ServerUpdates): void;
+  /**
+   * Notes that the server itself announced that it leaves, which holds for this incarnation.
+   * Returns false if that was known.
+   */
   noteLeaving(id: InstanceId): boolean;
-  /** Point in the store's history at which the view last changed. */
+  /** Position in the store's history at which the registry last changed. */
   changedAt(): StorePosition;
   tick(): void;
 }
 
 export interface ServerRegistryOptions {
   readonly feed: Feed<BackendServer>;
-  /** Whether this daemon forms groups, and so needs each change at once. */
+  /** Whether this daemon forms groups and therefore needs each change at once. */
   readonly isLeading: () => boolean;
-  /** What the leader said last, and lately; it tells all of what the store reports. */
+  /** The leader's latest statement, if recent; it forwards everything that the store reports. */
   readonly leader: () => Pick<Leader, 'at' | 'progress'> | undefined;
 }
 
-/** Changes that come together are fetched together; a fraction of the shortest step of forming a group. */
-const LEADER_REST_MS = 25;
 /**
- * What is known of the servers is no older than this part of the time that a leaving server allows:
- * the rest is for messages on their way. Others than the leader look for themselves only once the
- * leader's own view is that old, as when the store no longer answers it.
+ * Collects changes that arrive close together into one poll; a fraction of the shortest step of
+ * forming a group.
+ */
+const LEADER_POLL_DELAY_MS = 25;
+/**
+ * Maximum age of the registry, as a fraction of the time allowed for a leaving server; the rest is
+ * for messages in transit. Daemons other than the leader poll the store only once the leader's own
+ * view is that old, for example because the store no longer answers it.
  */
-const LONGEST_AGE_SHARE = 0.6;
-/** Polls wait for this part of that time, so that the view is seen to be young. */
-const WAIT_SHARE = 0.5;
+const MAX_AGE_SHARE = 0.6;
+/** Polls wait for this fraction of that time, so that the view is known to be fresh. */
+const POLL_WAIT_SHARE = 0.5;
 
-/** Whether the entry is of a life before the one that is known. */
-function isEarlier({ startedAt }: BackendServer, known: BackendServer): boolean {
+/** Whether the entry belongs to an incarnation before the known one. */
+function isEarlierIncarnation({ startedAt }: BackendServer, known: BackendServer): boolean {
   return startedAt !== undefined && known.startedAt !== undefined && startedAt < known.startedAt;
 }
 
@@ -84,77 +104,89 @@
 ): ServerRegistry {
   const servers = new Map<InstanceId, BackendServer>();
   const changes = new Subject<void>();
-  const news = new Subject<ServerUpdates>();
-  let told = ORIGIN_POSITION;
-  /** Lapsed while the store was away: gone at this instant unless they come back. */
-  const held = new Map<InstanceId, MonoTime>();
-  /** The last known life of each server, by the name of its entry. */
-  const lives = new Map<string, BackendServer>();
-  /** Lives that are known to have ended, since the server has begun another. */
+  const updates = new Subject<ServerUpdates>();
+  let publishedUpTo = ORIGIN_POSITION;
+  /**
+   * Servers whose entries expired while the store was down, and when they are removed unless their
+   * entries return.
+   */
+  const pendingRemoval = new Map<InstanceId, MonoTime>();
+  /** The last known incarnation of each server, by the name of its entry. */
+  const incarnations = new Map<string, BackendServer>();
+  /** Incarnations known to have ended because the server started another. */
   const ended = new Map<InstanceId, BackendServer>();
-  /** Gone from `servers`, and until when they are remembered. */
+  /** When removed servers are forgotten. */
   const forgetAt = new Map<InstanceId, MonoTime>();
-  const gone = new Map<InstanceId, BackendServer>();
-  /** Servers that said that they leave, whatever their entries say, and when that was heard. */
+  const lapsed = new Map<InstanceId, BackendServer>();
+  /**
+   * Servers that announced that they leave, whatever their entries say, and when this was received.
+   */
   const leaving = new Map<InstanceId, MonoTime>();
   let changedAt = ORIGIN_POSITION;
 
-  const asSaid = (server: BackendServer): BackendServer =>
+  const withDraining = (server: BackendServer): BackendServer =>
     leaving.has(server.id) ? { ...server, isDraining: true } : server;
 
-  const endLife = (before: BackendServer): void => {
+  const endIncarnation = (before: BackendServer): void => {
     const { id } = before;
-    held.delete(id);
-    gone.delete(id);
+    pendingRemoval.delete(id);
+    lapsed.delete(id);
     servers.delete(id);
     ended.set(id, before);
-    forgetAt.set(id, later(ctx.clock.now(), LAPSED_MS));
-    ctx.logger.info('server gone', { step: 'roster', server: id, reason: 'it has started again' });
+    forgetAt.set(id, later(ctx.clock.now(), REMOVED_RETENTION_MS));
+    ctx.logger.info('server gone', { step: 'roster', server: id, reason: 'server restarted' });
   };
 
-  const set = (server: BackendServer): void => {
+  const upsert = (server: BackendServer): void => {
     const { id, name } = server;
-    const before = lives.get(name);
-    if (ended.has(id) || (before && isEarlier(server, before))) {
-      ctx.logger.debug('entry of an earlier life ignored', { step: 'roster', server: id });
+    const before = incarnations.get(name);
+    if (ended.has(id) || (before && isEarlierIncarnation(server, before))) {
+      ctx.logger.debug('entry of an earlier incarnation ignored', { step: 'roster', server: id });
       return;
     }
-    if (before && before.id !== id) endLife(before);
-    lives.set(name, server);
-    held.delete(id);
-    gone.delete(id);
-    servers.set(id, asSaid(server));
+    if (before && before.id !== id) endIncarnation(before);
+    incarnations.set(name, server);
+    pendingRemoval.delete(id);
+    lapsed.delete(id);
+    servers.set(id, withDraining(server));
   };
 
-  const remove = (name: string): void => {
-    const id = lives.get(name)?.id;
+  const removeByName = (name: string): void => {
+    const id = incarnations.get(name)?.id;
     if (id === undefined || !servers.has(id)) return;
     const now = ctx.clock.now();
-    if (hasFailedWithin(watch, now, RETURN_MS)) {
-      if (!held.has(id)) held.set(id, later(watch.recoveredAt() ?? now, RETURN_MS));
+    if (hasFailedWithin(watch, now, REREGISTRATION_MS)) {
+      if (!pendingRemoval.has(id))
+        pendingRemoval.set(id, later(watch.recoveredAt() ?? now, REREGISTRATION_MS));
       return;
     }
-    drop(id, 'entry gone');
+    removeById(id, 'entry removed from the store');
   };
 
-  const drop = (id: InstanceId, reason: string): void => {
-    held.delete(id);
+  const removeById = (id: InstanceId, reason: string): void => {
+    pendingRemoval.delete(id);
     const server = servers.get(id);
-    if (server) gone.set(id, server);
-    forgetAt.set(id, later(ctx.clock.now(), LAPSED_MS));
+    if (server) lapsed.set(id, server);
+    forgetAt.set(id, later(ctx.clock.now(), REMOVED_RETENTION_MS));
     if (servers.delete(id)) ctx.logger.info('server gone', { step: 'roster', server: id, reason });
   };
 
-  /** Whether the entry shows less of this life than is known: an older copy of what the server wrote. */
+  /**
+   * Whether the entry is older than the known state of this incarnation, as in an older copy of the
+   * store.
+   */
   const isOutdated = ({ id, name, reportNumber }: BackendServer): boolean => {
-    const before = lives.get(name);
+    const before = incarnations.get(name);
     if (before?.id !== id || reportNumber === undefined) return false;
     const known = before.reportNumber ?? 0;
     return reportNumber < known || (reportNumber === known && !servers.has(id));
   };
 
-  /** Entries of an older copy that still hold. */
-  const withoutOutdated = (
+  /**
+   * Replaces the outdated entries of an older copy by the known ones, and drops those of removed
+   * servers.
+   */
+  const replaceOutdated = (
     list: readonly Change<BackendServer>[],
   ): readonly Change<BackendServer>[] => {
     const outdated = new Set(list.filter(({ value }) => value && isOutdated(value)));
@@ -164,94 +196,98 @@
     }
     return list.flatMap((change) => {
       if (!outdated.has(change)) return [change];
-      const known = lives.get(change.key);
+      const known = incarnations.get(change.key);
       return known && servers.has(known.id) ? [{ key: change.key, value: known }] : [];
     });
   };
 
-  const takeFromStore = (list: readonly Change<BackendServer>[], kind: ChangeKind): void => {
-    take(kind === 'copy' ? withoutOutdated(list) : list, kind !== 'changes');
+  const applyFromStore = (list: readonly Change<BackendServer>[], kind: ChangeKind): void => {
+    applyChanges(kind === 'copy' ? replaceOutdated(list) : list, kind !== 'changes');
     const position = watch.position();
     changedAt = latest(changedAt, position);
-    if (kind === 'changes') news.next({ since: told, upTo: position, changes: list });
-    told = position;
+    if (kind === 'changes') updates.next({ since: publishedUpTo, upTo: position, changes: list });
+    publishedUpTo = position;
   };
 
-  const take = (list: readonly Change<BackendServer>[], isWhole: boolean): void => {
+  const applyChanges = (list: readonly Change<BackendServer>[], isComplete: boolean): void => {
     const seen = new Set<string>();
     for (const { key, value } of list) {
       seen.add(key);
-      if (value) set(value);
-      else remove(key);
+      if (value) upsert(value);
+      else removeByName(key);
     }
-    if (isWhole) for (const name of lives.keys()) if (!seen.has(name)) remove(name);
+    if (isComplete) for (const name of incarnations.keys()) if (!seen.has(name)) removeByName(name);
     changes.next();
   };
 
-  const longestAgeMs = (): number => ctx.tunables.value.leavingMs * LONGEST_AGE_SHARE;
+  const maxAgeMs = (): number => ctx.tunables.value.leavingMs * MAX_AGE_SHARE;
 
-  /** Until when the leader's view, as far as it is known here, is young enough. */
-  const trustUntil = (since: MonoTime): MonoTime => {
-    const told = leader();
-    if (!told || told.progress.isStoreLost || isLater(told.progress.serversAt, watch.position())) {
+  /** Until when the leader's view, as received here, is fresh enough. */
+  const freshUntil = (since: MonoTime): MonoTime => {
+    const leaderView = leader();
+    if (
+      !leaderView ||
+      leaderView.progress.isStoreLost ||
+      isLater(leaderView.progress.serversAt, watch.position())
+    ) {
       return since;
     }
-    return later(told.at, longestAgeMs() - told.progress.storeAgeMs);
+    return later(leaderView.at, maxAgeMs() - leaderView.progress.storeAgeMs);
   };
 
-  const restUntil = (since: MonoTime): MonoTime => {
-    if (isLeading()) return later(since, LEADER_REST_MS);
-    const own = later(since, longestAgeMs());
-    const trusted = trustUntil(since);
-    return trusted > own ? trusted : own;
+  const nextPollAt = (since: MonoTime): MonoTime => {
+    if (isLeading()) return later(since, LEADER_POLL_DELAY_MS);
+    const own = later(since, maxAgeMs());
+    const leaderFresh = freshUntil(since);
+    return leaderFresh > own ? leaderFresh : own;
   };
 
   const watch = watchFeed(ctx, {
     feed,
-    apply: takeFromStore,
-    freshUntil: trustUntil,
-    nextPollAt: restUntil,
+    apply: applyFromStore,
+    freshUntil,
+    nextPollAt,
     pausesWhenUnchanged: true,
-    waitMs: () => longestAgeMs() * WAIT_SHARE,
+    waitMs: () => maxAgeMs() * POLL_WAIT_SHARE,
   });
 
-  const forgetGone = (): void => {
+  const pruneRemoved = (): void => {
     const now = ctx.clock.now();
     for (const [id, until] of forgetAt) {
       if (now < until) continue;
       forgetAt.delete(id);
-      gone.delete(id);
+      lapsed.delete(id);
       ended.delete(id);
     }
     for (const [id, at] of leaving) {
-      if (now >= later(at, LAPSED_MS) && !servers.has(id)) leaving.delete(id);
+      if (now >= later(at, REMOVED_RETENTION_MS) && !servers.has(id)) leaving.delete(id);
     }
-    for (const [name, { id }] of lives) {
-      if (!servers.has(id) && !forgetAt.has(id)) lives.delete(name);
+    for (const [name, { id }] of incarnations) {
+      if (!servers.has(id) && !forgetAt.has(id)) incarnations.delete(name);
     }
   };
 
-  const dropHeld = (): void => {
-    if (held.size === 0 || watch.isFailing()) return;
+  const removeDue = (): void => {
+    if (pendingRemoval.size === 0 || watch.isFailing()) return;
     const now = ctx.clock.now();
-    const due = [...held].filter(([, at]) => now >= at);
-    for (const [id] of due) drop(id, 'entry not back after the store was');
+    const due = [...pendingRemoval].filter(([, at]) => now >= at);
+    for (const [id] of due) removeById(id, "entry did not return after the store's recovery");
     if (due.length > 0) changes.next();
   };
 
   return {
     servers,
-    lapsed: gone,
+    lapsed,
     ended,
     changes,
-    news,
+    news: updates,
     watch,
     noteLeaving: (id) => {
       if (leaving.has(id)) return false;
       leaving.set(id, ctx.clock.now());
       const server = servers.get(id);
       if (server && !server.isDraining) {
-        servers.set(id, asSaid(server));
+        servers.set(id, withDraining(server));
         changes.next();
       }
       return true;
@@ -260,7 +296,7 @@
     adoptFromPeer: (at, list) => {
       if (!watch.isFailing() || !isLater(at, latest(watch.position(), changedAt))) return;
       changedAt = at;
-      take(
+      applyChanges(
         list.map((value) => ({ key: value.name, value })),
         true,
       );
@@ -276,12 +312,12 @@
         return;
       watch.skipTo(upTo);
       changedAt = latest(changedAt, upTo);
-      told = upTo;
-      take(list, false);
+      publishedUpTo = upTo;
+      applyChanges(list, false);
     },
     tick: () => {
-      dropHeld();
-      forgetGone();
+      removeDue();
+      pruneRemoved();
     },
   };
 }
--- a/src/app/gateway/slot-admission.ts
+++ b/src/app/gateway/slot-admission.ts
@@ -1,4 +1,7 @@
-/** The room in each model's groups that this daemon may use until it hears of the others again. */
+/**
+ * Decides which free slots in a model's groups this daemon may use until the next load update from
+ * its peers.
+ */
 
 import type { GroupCandidate } from '../../core/gateway/balance';
 import {
@@ -14,41 +17,47 @@
 import type { InstanceId, ModelId, MonoTime } from '../../core/ids';
 import type { GatewayContext } from './context';
 
-/** Requests of a model, here and on the other daemons. */
+/** Offered load of a model on this daemon and on the other daemons. */
 export interface ModelOfferedLoad {
-  readonly here: OfferedLoad;
-  readonly elsewhere: OfferedLoad;
-  /** Time that one can wait for a place and still be on time, milliseconds. */
+  readonly local: OfferedLoad;
+  readonly remote: OfferedLoad;
+  /** Time that a request can wait for a slot and still meet its latency objective, milliseconds. */
   readonly slackMs: number;
-  /** Whether the request that wants a place has waited for longer. */
+  /** Whether the request that needs a slot has waited for longer than that. */
   readonly isLate: boolean;
 }
 
 export interface Admission {
-  /** The groups that the request may be sent to. */
+  /** Groups that the request may be sent to. */
   readonly groups: readonly GroupCandidate[];
-  /** To be called when it was sent. */
+  /** Must be called once the request is sent. */
   readonly noteSent: () => void;
 }
 
 export interface SlotAdmission {
-  /** The loads of the others were taken in; they show what happened more than `ageMs` ago. */
+  /**
+   * Notes a load update from the peers, which includes everything that happened more than `ageMs`
+   * ago.
+   */
   noteLoads(ageMs: number): void;
-  /** Age of the others' loads when they are heard of, milliseconds. */
+  /** Age of the peers' load when it arrives, milliseconds. */
   loadAgeMs(): number;
   noteSent(head: InstanceId): void;
-  /** A stream gave its place back; it is used again by this daemon. */
+  /** A stream released its slot; this daemon may reuse it. */
   noteSlotFreed(head: InstanceId): void;
-  /** A stream held its place for so long, milliseconds. */
+  /** A stream held its slot for `holdMs` milliseconds. */
   noteHold(model: ModelId, holdMs: number): void;
-  /** Mean time that streams of the model hold a place; undefined before any has ended. */
+  /** Mean time that streams of the model hold a slot; undefined until one has ended. */
   holdMs(model: ModelId): number | undefined;
-  /** Mean time that its requests may wait for a place and still be on time; undefined before the first came. */
+  /**
+   * Mean time that its requests can wait for a slot and still be on time; undefined until the first
+   * arrives.
+   */
   slackMs(model: ModelId): number | undefined;
-  /** Places in the group that this daemon has to itself. */
+  /** Free slots of the group that are reserved for this daemon. */
   grantedSlots(head: InstanceId): number;
-  /** What a request may use of the groups' room. */
-  admit(model: ModelId, groups: readonly GroupCandidate[], asked: ModelOfferedLoad): Admission;
+  /** Determines which groups a request may use, given the load offered to their free slots. */
+  admit(model: ModelId, groups: readonly GroupCandidate[], offered: ModelOfferedLoad): Admission;
 }
 
 const ignore = (): void => undefined;
@@ -56,27 +65,34 @@
 export function createSlotAdmission({ clock, random }: GatewayContext): SlotAdmission {
   const holds = new Map<ModelId, number>();
   const slacks = new Map<ModelId, number>();
-  const granted = new Map<InstanceId, number>();
-  /** Late requests that may still be sent, by model; present once the model's places were granted. */
-  const lateLeft = new Map<ModelId, number>();
-  let agedMs = 0;
-  /** Loads that are taken in sooner don't show yet what was sent since the last ones. */
-  let keptUntil: MonoTime = clock.now();
+  const grantedSlots = new Map<InstanceId, number>();
+  /**
+   * Late requests that may still be sent, by model; an entry exists once the model's slots were
+   * granted.
+   */
+  const lateRemaining = new Map<ModelId, number>();
+  let loadAgeMs = 0;
+  /** Load updates that arrive before this do not yet include what was sent since the last grant. */
+  let grantsKeptUntil: MonoTime = clock.now();
 
-  const add = (head: InstanceId, by: number): void => {
-    granted.set(head, (granted.get(head) ?? 0) + by);
+  const addGranted = (head: InstanceId, by: number): void => {
+    grantedSlots.set(head, (grantedSlots.get(head) ?? 0) + by);
   };
 
-  const grant = (model: ModelId, groups: readonly GroupCandidate[], demand: Contention): void => {
-    if (lateLeft.has(model)) return;
-    lateLeft.set(model, lateQuota(demand, random.next()));
-    const free = groups.map(({ head, freeSlots: freePlaces }) => ({
+  const grantOnce = (
+    model: ModelId,
+    groups: readonly GroupCandidate[],
+    contention: Contention,
+  ): void => {
+    if (lateRemaining.has(model)) return;
+    lateRemaining.set(model, lateQuota(contention, random.next()));
+    const free = groups.map(({ head, freeSlots }) => ({
       head,
-      // Places that own streams gave back are this daemon's already.
-      places: Math.max(0, freePlaces - (granted.get(head) ?? 0)),
+      // Slots released by own streams are already reserved for this daemon.
+      places: Math.max(0, freeSlots - (grantedSlots.get(head) ?? 0)),
     }));
-    for (const [head, places] of grantSlots(free, onTimeShare(demand), random.next())) {
-      add(head, places);
+    for (const [head, places] of grantSlots(free, onTimeShare(contention), random.next())) {
+      addGranted(head, places);
     }
   };
 
@@ -85,15 +101,15 @@
   > = {
     all: (_, groups) => ({ groups, noteSent: ignore }),
     granted: (_, groups) => ({
-      groups: groups.filter(({ head }) => (granted.get(head) ?? 0) >= 1),
+      groups: groups.filter(({ head }) => (grantedSlots.get(head) ?? 0) >= 1),
       noteSent: ignore,
     }),
     surplus: (model, groups) => {
-      const left = lateLeft.get(model) ?? 0;
+      const remaining = lateRemaining.get(model) ?? 0;
       return {
-        groups: left < 1 ? [] : groups,
+        groups: remaining < 1 ? [] : groups,
         noteSent: () => {
-          lateLeft.set(model, left - 1);
+          lateRemaining.set(model, remaining - 1);
         },
       };
     },
@@ -102,35 +118,35 @@
   return {
     noteLoads: (ageMs) => {
       const now = clock.now();
-      agedMs = ageMs;
-      if (now < keptUntil) return;
-      keptUntil = later(now, ageMs);
-      granted.clear();
-      lateLeft.clear();
+      loadAgeMs = ageMs;
+      if (now < grantsKeptUntil) return;
+      grantsKeptUntil = later(now, ageMs);
+      grantedSlots.clear();
+      lateRemaining.clear();
     },
-    loadAgeMs: () => agedMs,
+    loadAgeMs: () => loadAgeMs,
     noteSent: (head) => {
-      add(head, -1);
+      addGranted(head, -1);
     },
     noteSlotFreed: (head) => {
-      add(head, 1);
+      addGranted(head, 1);
     },
     noteHold: (model, holdMs) => {
       holds.set(model, smoothHoldMs(holds.get(model), holdMs));
     },
     holdMs: (model) => holds.get(model),
     slackMs: (model) => slacks.get(model),
-    grantedSlots: (head) => granted.get(head) ?? 0,
-    admit: (model, groups, { here, elsewhere, slackMs, isLate }) => {
+    grantedSlots: (head) => grantedSlots.get(head) ?? 0,
+    admit: (model, groups, { local, remote, slackMs, isLate }) => {
       slacks.set(model, smoothHoldMs(slacks.get(model), slackMs));
-      const ages = { agedMs, slackMs };
-      const demand: Contention = {
+      const ages = { agedMs: loadAgeMs, slackMs };
+      const contention: Contention = {
         freeCapacity: groups.reduce((sum, { freeCapacity: room }) => sum + room, 0),
-        local: expectLoad({ ...here, waiting: Math.max(1, here.waiting) }, ages),
-        remote: expectLoad(elsewhere, ages),
+        local: expectLoad({ ...local, waiting: Math.max(1, local.waiting) }, ages),
+        remote: expectLoad(remote, ages),
       };
-      grant(model, groups, demand);
-      return ADMIT[slotAccessFor(demand, isLate)](model, groups);
+      grantOnce(model, groups, contention);
+      return ADMIT[slotAccessFor(contention, isLate)](model, groups);
     },
   };
 }
--- a/src/app/gateway/stall-detector.ts
+++ b/src/app/gateway/stall-detector.ts
@@ -8,9 +8,9 @@
 /** What is known of a group beside the events that this daemon saw. */
 export interface StallContext {
   /** Usual pause between events of a stream, milliseconds. */
-  readonly usualMs: number;
+  readonly expectedPauseMs: number;
   /** Time that the prompts sent to it take to be read, milliseconds. */
-  readonly readingMs: number;
+  readonly prefillMs: number;
   /** Requests of all daemons in it. */
   readonly running: number;
   /** Whether the loads of the other daemons are known, and their requests in it. */
@@ -43,7 +43,13 @@
     },
     detect: (
       last,
-      { usualMs, readingMs, running, hasPeerLoads: knowsOthers, runningOnPeers: elsewhere },
+      {
+        expectedPauseMs: usualMs,
+        prefillMs: readingMs,
+        running,
+        hasPeerLoads: knowsOthers,
+        runningOnPeers: elsewhere,
+      },
     ) => {
       const now = clock.now();
       // Events that came while this process did not run are not read yet.
--- a/src/app/gateway/stall-reporting.ts
+++ b/src/app/gateway/stall-reporting.ts
@@ -1,6 +1,7 @@
 /**
- * Groups that give no sign: what this daemon sees of them, what peers tell, and what is then done. Nothing
- * is sent to such a group, its streams are moved, and the leader asks its members.
+ * Handles groups that seem to be stalled: combines this daemon's observations with reports of
+ * peers. A confirmed group is suspended, its streams are moved, and the leader inspects its
+ * members.
  */
 
 import { isStallConfirmed, noteStallReport } from '../../core/gateway/stall-quorum';
@@ -23,110 +24,117 @@
 }
 
 export interface StallReporting {
-  /** What a daemon found of a group that is known here. */
+  /** Handles a daemon's finding about a group that is known here. */
   receive(finding: StallFinding, stall: Stall, reporter: DaemonId): void;
-  /** When groups gave events to a peer, as it told just now. */
-  noteIdleTimes(quiet: PeerState['quiet']): void;
+  /** Notes when groups last gave events to a peer, from its latest state. */
+  noteIdleTimes(idleTimes: PeerState['quiet']): void;
   expire(now: MonoTime): void;
 }
 
-/** Requests of others that a group is taken to have while their loads are not known: as many as a busy one. */
-const UNKNOWN_RUNNING = 12;
-/** Older events say nothing of a group any more. */
-const EVENT_MEMORY_MS = 10_000;
+/**
+ * Requests of others that a group is assumed to have while their load is unknown: as many as a busy
+ * one.
+ */
+const ASSUMED_RUNNING = 12;
+/** Older events say nothing about a group's current state. */
+const EVENT_RETENTION_MS = 10_000;
 
 export function createStallReporting({
   ctx,
-  board,
+  board: groupRegistry,
   fleet,
-  planner: former,
+  planner,
   leadership,
 }: StallReportingDeps): StallReporting {
-  let witnesses: StallReports = new Map();
+  let reports: StallReports = new Map();
   /** When groups last gave an event to a peer, by head. */
   const lastEvents = new Map<InstanceId, MonoTime>();
 
-  /** Nothing is sent to the group for a while, its streams are moved, and the leader looks into it. */
-  const believe = ({ group, head }: Stall, finding: 'confirmed' | 'lost', source: string): void => {
+  /** Suspends the group for a while, moves its streams, and has the leader inspect it. */
+  const actOn = ({ group, head }: Stall, finding: 'confirmed' | 'lost', source: string): void => {
     const evidence = finding === 'lost' ? 'lost' : 'silent';
-    const isNews = board.suspect(group, evidence, source);
-    board.evacuate({ group, head });
-    if (finding === 'confirmed') former.inspect({ group, head });
-    // In a large fleet only the leader was told; what it found by itself is news to all.
-    const mustTell = finding === 'lost' || (isNews && fleet.isLarge());
-    if (mustTell && leadership.heldFencing() !== undefined) {
+    const isNew = groupRegistry.suspect(group, evidence, source);
+    groupRegistry.evacuate({ group, head });
+    if (finding === 'confirmed') planner.inspect({ group, head });
+    // In a large fleet only the leader receives reports, so it publishes what it concludes from
+    // them.
+    const mustBroadcast = finding === 'lost' || (isNew && fleet.isLarge());
+    if (mustBroadcast && leadership.heldFencing() !== undefined) {
       fleet.broadcastAsLeader({ kind: 'stalled', group, head, finding });
     }
   };
 
-  const noteSeen = (stall: Stall, reporter: DaemonId): void => {
+  const noteReport = (stall: Stall, reporter: DaemonId): void => {
     const now = ctx.clock.now();
     const { group, head } = stall;
-    witnesses = noteStallReport(witnesses, group, reporter, now);
-    // Where the others' loads are not known, they are taken to have many streams there.
-    const running = board.hasPeerLoads() ? board.runningOnPeers(head) : UNKNOWN_RUNNING;
-    const eventAt = latest(lastEvents.get(head), board.lastEventAt(head));
-    const isSure = isStallConfirmed(witnesses, group, { running, eventAt }, now);
+    reports = noteStallReport(reports, group, reporter, now);
+    // While the other daemons' load is unknown, assume that they have many streams in the group.
+    const running = groupRegistry.hasPeerLoads()
+      ? groupRegistry.runningOnPeers(head)
+      : ASSUMED_RUNNING;
+    const eventAt = latest(lastEvents.get(head), groupRegistry.lastEventAt(head));
+    const isSure = isStallConfirmed(reports, group, { running, eventAt }, now);
     ctx.logger.info('group seen silent', { step: 'stall', group, reporter, running, isSure });
-    if (isSure) believe(stall, 'confirmed', `reported by ${reporter}`);
+    if (isSure) actOn(stall, 'confirmed', `reported by ${reporter}`);
   };
 
-  /** What a daemon found of a group. One that could not reach it may have lost only its own link. */
-  const takeFinding: Readonly<Record<StallFinding, (stall: Stall, reporter: DaemonId) => void>> = {
-    seen: noteSeen,
-    unreachable: (stall) => {
-      former.inspect(stall);
-    },
-    confirmed: (stall, reporter) => {
-      believe(stall, 'confirmed', `told by ${reporter}`);
-    },
-    lost: (stall, reporter) => {
-      board.suspect(stall.group, 'lost', `found by ${reporter}`);
-      board.evacuate(stall);
-    },
-  };
+  /** Handlers by finding. A daemon that could not reach a group may only have lost its own link. */
+  const handleFinding: Readonly<Record<StallFinding, (stall: Stall, reporter: DaemonId) => void>> =
+    {
+      seen: noteReport,
+      unreachable: (stall) => {
+        planner.inspect(stall);
+      },
+      confirmed: (stall, reporter) => {
+        actOn(stall, 'confirmed', `confirmed by ${reporter}`);
+      },
+      lost: (stall, reporter) => {
+        groupRegistry.suspect(stall.group, 'lost', `found by ${reporter}`);
+        groupRegistry.evacuate(stall);
+      },
+    };
 
-  const report = ({ group, head }: Stall, finding: 'seen' | 'unreachable'): void => {
+  const sendReport = ({ group, head }: Stall, finding: 'seen' | 'unreachable'): void => {
     const message = { kind: 'stalled', group, head, finding } as const;
     const isLarge = fleet.isLarge();
     const leader = isLarge ? fleet.leader() : undefined;
     if (leader) fleet.send(leader.address, message);
     else if (isLarge) fleet.sendToLikelyLeaders(message);
     else fleet.broadcast(message);
-    takeFinding[finding]({ group, head }, ctx.settings.id);
+    handleFinding[finding]({ group, head }, ctx.settings.id);
   };
 
-  board.stalls.subscribe((stall) => {
-    report(stall, 'seen');
+  groupRegistry.stalls.subscribe((stall) => {
+    sendReport(stall, 'seen');
   });
-  board.unreachable.subscribe((stall) => {
-    report(stall, 'unreachable');
+  groupRegistry.unreachable.subscribe((stall) => {
+    sendReport(stall, 'unreachable');
   });
-  former.lost.subscribe((stall) => {
-    believe(stall, 'lost', 'members asked');
+  planner.lost.subscribe((stall) => {
+    actOn(stall, 'lost', 'members asked');
   });
 
-  const noteEvents = (quiet: PeerState['quiet']): void => {
+  const noteEvents = (idleTimes: PeerState['quiet']): void => {
     const now = ctx.clock.now();
-    for (const [head, quietMs] of quiet) {
-      const eventAt = later(now, -quietMs);
+    for (const [head, idleMs] of idleTimes) {
+      const eventAt = later(now, -idleMs);
       const known = lastEvents.get(head);
       if (known === undefined || eventAt > known) lastEvents.set(head, eventAt);
     }
   };
 
-  const forgetEvents = (now: MonoTime): void => {
+  const pruneEvents = (now: MonoTime): void => {
     for (const [head, at] of lastEvents) {
-      if (now >= later(at, EVENT_MEMORY_MS)) lastEvents.delete(head);
+      if (now >= later(at, EVENT_RETENTION_MS)) lastEvents.delete(head);
     }
   };
 
   return {
     receive: (finding, stall, reporter) => {
-      takeFinding[finding](stall, reporter);
+      handleFinding[finding](stall, reporter);
     },
     noteIdleTimes: noteEvents,
-    expire: forgetEvents,
+    expire: pruneEvents,
   };
 }
 
--- a/src/app/gateway/stream-call.ts
+++ b/src/app/gateway/stream-call.ts
@@ -1,6 +1,6 @@
 /**
- * A stream from a replica group. Whole events are passed on as they come; a stream that breaks goes
- * on at another group from its last event where the route allows it, within the same answer.
+ * Proxies a stream from a replica group. Only whole events are forwarded. An interrupted stream is
+ * resumed at another group after its last event, within the same answer, if its route allows this.
  */
 
 import { merge } from 'rxjs';
@@ -30,13 +30,15 @@
 import { abortReason, relay } from './stream-relay';
 import type { AttemptResult, Slot, RelayDeps, StreamState } from './stream-relay';
 
-/** A group that lost a member is formed again from warm servers in little more than half a second. */
+/**
+ * A group that lost a member is formed again from warm servers in little more than half a second.
+ */
 const UNSERVED_WAIT_MS = 700;
 /**
- * Groups that a request may turn to in vain because their heads cannot be reached. Nothing was sent to
- * them, so that this is no retry; it ends where the trouble is this daemon's own link.
+ * Groups that a request may try in vain because their heads are unreachable. Nothing was sent to
+ * them, so this is not a retry; the limit applies when this daemon's own link is down.
  */
-const MAX_UNREACHED = 4;
+const MAX_UNREACHABLE_HEADS = 4;
 
 export interface StreamDeps extends RelayDeps, SlotDeps {
   readonly throttle: Throttle;
@@ -49,14 +51,14 @@
 }
 
 export function createStreamCalls(deps: StreamDeps): StreamCalls {
-  const { ctx, board, retries } = deps;
+  const { ctx, board: groupRegistry, retries } = deps;
   const times = createRouteTimes();
 
-  /** Until when the request must have a place to be on time; a stream that has begun may not wait at all. */
-  const placedBy = ({ arrivedAt, route, answerBy }: Exchange, state: StreamState): MonoTime =>
+  /** When the request needs a slot to be on time; for a stream that has begun, any wait is late. */
+  const onTimeUntil = ({ arrivedAt, route, answerBy }: Exchange, state: StreamState): MonoTime =>
     state.hasStarted ? answerBy : later(arrivedAt, times.slackMs(route));
 
-  const choose = (
+  const tryTakeSlot = (
     exchange: Exchange,
     model: ModelId,
     state: StreamState,
@@ -69,67 +71,70 @@
       maxPauseMs: route.maxPauseMs,
       tried: state.tried,
       slackMs: times.slackMs(route),
-      isLate: ctx.clock.now() >= placedBy(exchange, state),
+      isLate: ctx.clock.now() >= onTimeUntil(exchange, state),
     });
   };
 
-  /** A caller whose model no group serves is told to come back, for its wait would likely be in vain. */
+  /**
+   * If no group serves the model, the wait is short and the caller is asked to retry later, as a
+   * longer wait would likely be in vain.
+   */
   const waitUntil = (exchange: Exchange, model: ModelId, state: StreamState): MonoTime => {
     if (state.hasStarted) return exchange.answerBy;
-    if (board.hasOpenGroup(exchange.service, model)) return exchange.placeBy;
-    const soon = later(exchange.arrivedAt, UNSERVED_WAIT_MS);
-    return soon < exchange.placeBy ? soon : exchange.placeBy;
+    if (groupRegistry.hasOpenGroup(exchange.service, model)) return exchange.placeBy;
+    const unservedUntil = later(exchange.arrivedAt, UNSERVED_WAIT_MS);
+    return unservedUntil < exchange.placeBy ? unservedUntil : exchange.placeBy;
   };
 
-  /** Takes a place in a group, if need be after a wait in turn with other requests. */
+  /** Takes a slot in a group, if necessary after waiting in the queue. */
   const findGroup = async (
     exchange: Exchange,
     model: ModelId,
     state: StreamState,
   ): Promise<ServingGroup | undefined> => {
-    const found = choose(exchange, model, state);
+    const found = tryTakeSlot(exchange, model, state);
     if (found) return found;
     const since = ctx.clock.now();
     const until = waitUntil(exchange, model, state);
-    if (later(since, board.msUntilToken(exchange.service, model)) > until) return undefined;
-    const place = await deps.waiting.wait({
+    if (later(since, groupRegistry.msUntilToken(exchange.service, model)) > until) return undefined;
+    const group = await deps.waiting.wait({
       model,
       priority: exchange.priority,
       until,
       arrivedAt: exchange.arrivedAt,
-      onTimeUntil: placedBy(exchange, state),
+      onTimeUntil: onTimeUntil(exchange, state),
       holdMs: times.holdMs(exchange.route),
       gone: exchange.gone,
       isRetry: state.tried.size > 0,
-      choose: () => choose(exchange, model, state),
+      choose: () => tryTakeSlot(exchange, model, state),
     });
     state.waitedMs += ctx.clock.now() - since;
-    return place;
+    return group;
   };
 
-  const mayGoOn = (exchange: Exchange, state: StreamState, ended: AttemptResult): boolean => {
+  const canRetry = (exchange: Exchange, state: StreamState, result: AttemptResult): boolean => {
     const { route } = exchange;
     if (exchange.gone.aborted || ctx.clock.now() >= exchange.answerBy) return false;
-    if (ended === 'not-sent') return state.unreached < MAX_UNREACHED;
+    if (result === 'not-sent') return state.unreached < MAX_UNREACHABLE_HEADS;
     if (state.attempts >= route.maxAttempts) return false;
-    if (ended === 'lost' && !route.isResumable) return false;
+    if (result === 'lost' && !route.isResumable) return false;
     return retries.mayRetry(exchange.service);
   };
 
   const call = async (exchange: Exchange): Promise<void> => {
     const model = exchange.facts.model;
-    const given = exchange.facts.lastEventId;
+    const lastEventId = exchange.facts.lastEventId;
     const state: StreamState = {
       tried: new Set(),
       attempts: 0,
       unreached: 0,
       server: undefined,
       exposure: 'not-run',
-      lastId: given === undefined ? undefined : Number(given),
+      lastId: lastEventId === undefined ? undefined : Number(lastEventId),
       hasStarted: false,
       waitedMs: 0,
       firstEventAt: undefined,
-      reason: 'no group of the model has room',
+      reason: 'no group of the model has free capacity',
     };
     if (model === undefined) {
       endUnanswered(ctx, exchange, {
@@ -146,10 +151,10 @@
       if (!group) break;
       state.tried.add(group.head.id);
       state.server = group.head.id;
-      const ended = await attempt({ ...deps, times }, exchange, group, state);
-      if (ended === 'not-sent') state.unreached += 1;
+      const result = await attempt({ ...deps, times }, exchange, group, state);
+      if (result === 'not-sent') state.unreached += 1;
       else state.attempts += 1;
-      if (ended === 'complete' || ended === 'passed-on') {
+      if (result === 'complete' || result === 'passed-on') {
         const status = exchange.res.statusCode;
         const { attempts } = state;
         const server = group.head.id;
@@ -158,52 +163,60 @@
           status,
           attempts,
           server,
-          ...timesOf(exchange, state),
+          ...streamTimesOf(exchange, state),
         });
         return;
       }
       const { reason } = state;
-      logFailedAttempt(ctx, exchange, { server: group.head.id, group: group.id, ended, reason });
-      if (ended === 'lost') state.exposure = 'unknown';
-      if (ended === 'caller-gone' || !mayGoOn(exchange, state, ended)) break;
+      logFailedAttempt(ctx, exchange, {
+        server: group.head.id,
+        group: group.id,
+        ended: result,
+        reason,
+      });
+      if (result === 'lost') state.exposure = 'unknown';
+      if (result === 'caller-gone' || !canRetry(exchange, state, result)) break;
     }
-    endWithoutAnswer(deps, exchange, state);
+    endFailedStream(deps, exchange, state);
   };
 
   return { call };
 }
 
-function timesOf({ arrivedAt }: Exchange, { waitedMs, firstEventAt }: StreamState): StreamTimes {
+function streamTimesOf(
+  { arrivedAt }: Exchange,
+  { waitedMs, firstEventAt }: StreamState,
+): StreamTimes {
   return {
     waitedMs: Math.round(waitedMs),
     ...(firstEventAt !== undefined && { firstEventMs: Math.round(firstEventAt - arrivedAt) }),
   };
 }
 
-/** Why a group could not be found and when to come back, where that is known. */
-function whyUnplaced(
-  board: GroupRegistry,
+/** Why no slot was found and when to retry, if known. */
+function explainNoSlot(
+  groupRegistry: GroupRegistry,
   { service, facts: { model } }: Exchange,
 ): { readonly reason: string; readonly retryAfter: RetryAfter } | undefined {
-  if (model === undefined || !board.hasOpenGroup(service, model)) {
+  if (model === undefined || !groupRegistry.hasOpenGroup(service, model)) {
     return { reason: 'no group serves the model', retryAfter: RETRY_AFTER_UNSERVED };
   }
-  const takesInMs = board.msUntilAccepted(service, model);
-  if (takesInMs === 0) return undefined;
+  const acceptedInMs = groupRegistry.msUntilAccepted(service, model);
+  if (acceptedInMs === 0) return undefined;
   return {
-    reason: 'the groups of the model take no more now',
-    retryAfter: retryAfterDelay(takesInMs),
+    reason: 'all groups of the model are rate-limited or backing off',
+    retryAfter: retryAfterDelay(acceptedInMs),
   };
 }
 
-function endWithoutAnswer(
-  { ctx, board }: StreamDeps,
+function endFailedStream(
+  { ctx, board: groupRegistry }: StreamDeps,
   exchange: Exchange,
   state: StreamState,
 ): void {
   const { attempts, exposure, server, reason } = state;
   const { res, gone } = exchange;
-  const times = timesOf(exchange, state);
+  const times = streamTimesOf(exchange, state);
   if (gone.aborted) {
     logRequestEnd(ctx, exchange, {
       outcome: 'caller-gone',
@@ -216,47 +229,47 @@
     return;
   }
   if (!state.hasStarted) {
-    const unplaced = whyUnplaced(board, exchange);
+    const noSlot = explainNoSlot(groupRegistry, exchange);
     endUnanswered(ctx, exchange, {
       exposure,
-      reason: attempts === 0 ? (unplaced?.reason ?? reason) : reason,
+      reason: attempts === 0 ? (noSlot?.reason ?? reason) : reason,
       attempts,
       times,
-      ...(unplaced && { retryAfter: unplaced.retryAfter }),
+      ...(noSlot && { retryAfter: noSlot.retryAfter }),
     });
     return;
   }
-  // The caller must not take what it has for a whole answer.
+  // The caller must not take the partial answer for a complete one.
   res.destroy();
   const status = res.statusCode;
   logRequestEnd(ctx, exchange, { outcome: 'torn', status, attempts, reason, ...times });
 }
 
-/** Sends the request to one group and passes its events on. */
+/** Sends the request to one group and forwards its events. */
 async function attempt(
   deps: StreamDeps & { readonly times: RouteTimes },
   exchange: Exchange,
   group: ServingGroup,
   state: StreamState,
 ): Promise<AttemptResult> {
-  const { ctx, board, upstream, dialect, throttle: allowances } = deps;
+  const { ctx, board: groupRegistry, upstream, dialect, throttle } = deps;
   const { head } = group;
   const stop = new AbortController();
   const now = ctx.clock.now();
-  const place: Slot = { sentAt: now, prefilledAt: undefined };
-  const end = later(exchange.answerBy, 0);
-  const limit = setTimeout(
+  const slot: Slot = { sentAt: now, prefilledAt: undefined };
+  const sendUntil = later(exchange.answerBy, 0);
+  const timer = setTimeout(
     () => {
-      stop.abort(new Error('no time left'));
+      stop.abort(new Error('deadline reached'));
     },
-    Math.max(1, end - now),
+    Math.max(1, sendUntil - now),
   );
   const onGone = (): void => {
-    stop.abort(new Error('caller gone'));
+    stop.abort(new Error('caller disconnected'));
   };
   exchange.gone.addEventListener('abort', onGone, { once: true });
-  const stalls = merge(board.stalls, board.evacuated).subscribe((stall) => {
-    if (stall.head === head.id) stop.abort(new Error('group stands still'));
+  const stalls = merge(groupRegistry.stalls, groupRegistry.evacuated).subscribe((stall) => {
+    if (stall.head === head.id) stop.abort(new Error('group stalled'));
   });
   try {
     const organisation = organisationNameOf(exchange.caller);
@@ -267,7 +280,7 @@
       path: url,
       headers: dialect.forward(rawHeaders, {
         server: head.name,
-        leftMs: end - now,
+        leftMs: sendUntil - now,
         bodyBytes: exchange.body.length,
         ...(organisation !== undefined && { organisation }),
         ...(state.lastId !== undefined && { lastEventId: String(state.lastId) }),
@@ -276,8 +289,9 @@
       ownConnection: false,
       signal: stop.signal,
       beforeSend: () => {
-        if (ctx.clock.now() >= end) return fail('deadline-exceeded', 'too late', { step: 'send' });
-        return allowances.isBackingOff(head.id) ? backoffError() : undefined;
+        if (ctx.clock.now() >= sendUntil)
+          return fail('deadline-exceeded', 'deadline reached before sending', { step: 'send' });
+        return throttle.isBackingOff(head.id) ? backoffError() : undefined;
       },
     });
     if (sent.kind !== 'answered') {
@@ -285,7 +299,7 @@
       if (exchange.gone.aborted) return 'caller-gone';
       if (sent.kind === 'lost') return 'lost';
       if (sent.error.code === 'unavailable' && !stop.signal.aborted) {
-        board.noteUnreachable({ group: group.id, head: head.id }, state.reason);
+        groupRegistry.noteUnreachable({ group: group.id, head: head.id }, state.reason);
       }
       return 'not-sent';
     }
@@ -296,28 +310,28 @@
       state,
       answered: sent,
       stop: stop.signal,
-      slot: place,
+      slot,
     });
   } finally {
-    clearTimeout(limit);
+    clearTimeout(timer);
     exchange.gone.removeEventListener('abort', onGone);
     stalls.unsubscribe();
-    giveBack(deps, exchange, head.id, place);
+    releaseSlot(deps, exchange, head.id, slot);
   }
 }
 
-function giveBack(
-  { ctx, board, times }: StreamDeps & { readonly times: RouteTimes },
+function releaseSlot(
+  { ctx, board: groupRegistry, times }: StreamDeps & { readonly times: RouteTimes },
   { route, facts }: Exchange,
   head: InstanceId,
-  { sentAt, prefilledAt: readAt }: Slot,
+  { sentAt, prefilledAt }: Slot,
 ): void {
-  if (readAt === undefined) {
-    board.noteEnded(head, facts.promptTokens);
+  if (prefilledAt === undefined) {
+    groupRegistry.noteEnded(head, facts.promptTokens);
     return;
   }
   const holdMs = ctx.clock.now() - sentAt;
   times.noteHold(route, holdMs);
-  times.noteFirstEvent(route, readAt - sentAt);
-  board.noteEnded(head, 0, holdMs);
+  times.noteFirstEvent(route, prefilledAt - sentAt);
+  groupRegistry.noteEnded(head, 0, holdMs);
 }
--- a/src/app/gateway/take-slot.ts
+++ b/src/app/gateway/take-slot.ts
@@ -35,7 +35,7 @@
   const { ctx, board, waiting, arrivals, daemons } = deps;
   const { model } = needs;
   const here = { waiting: waiting.count(model), perSecond: arrivals.rate(model) };
-  const admission = board.admit(model, board.candidates(needs), { here, slackMs, isLate });
+  const admission = board.admit(model, board.candidates(needs), { local: here, slackMs, isLate });
   const open = listEligible(admission.groups, (head) => board.grantedSlots(head), promptTokens);
   const { zone } = ctx.settings;
   const random = (): number => ctx.random.next();
--- a/src/app/gateway/throttle.ts
+++ b/src/app/gateway/throttle.ts
@@ -1,4 +1,7 @@
-/** What this daemon may send to each backend server now, by all that the server said of itself. */
+/**
+ * Limits what this daemon sends to each backend server: the server's rate limit and its backoff
+ * requests combined.
+ */
 
 import { noteBackoff, backoffRemainingMs } from '../../core/gateway/server-backoff';
 import type { Backoffs } from '../../core/gateway/server-backoff';
@@ -7,57 +10,73 @@
 import type { RateLimits } from './rate-limits';
 
 export interface Throttle {
-  /** Requests that may be sent to the server now; infinite where it said nothing of it. */
+  /** Requests that may be sent to the server now; infinite if the server set no limit. */
   tokens(server: InstanceId): number;
-  /** Takes a turn for a request that is being sent. */
+  /** Takes a token for a request that is being sent. */
   takeToken(server: InstanceId): void;
-  /** Time until this daemon has a turn, milliseconds: 0 where it has one, infinite where it will have none. */
+  /**
+   * Time until a token is available, milliseconds: 0 if one is, infinite if this daemon gets none.
+   */
   msUntilToken(server: InstanceId): number;
-  /** Time until the server takes a request that was refused here, from this daemon or another, milliseconds. */
+  /** Time until the server accepts a request from any daemon, milliseconds. */
   msUntilAccepted(server: InstanceId): number;
-  /** Whether the server wants nothing from this daemon, also of what was chosen for it before. */
+  /**
+   * Whether the server asked this daemon to back off. Applies to requests already assigned to it as
+   * well.
+   */
   isBackingOff(server: InstanceId): boolean;
-  /** The server turned this daemon away and wants nothing from it for so long, milliseconds. */
+  /**
+   * Notes that the server refused a request and asked this daemon to back off for `restMs`
+   * milliseconds.
+   */
   noteBackoff(server: InstanceId, restMs: number): void;
-  /** Whether turns have come for requests that wait. */
+  /** Whether tokens became available for waiting requests. */
   tick(): boolean;
 }
 
-/** The least of the times; 0 where there is none, since no server's word stands in the way then. */
+/** The smallest of the times; 0 for an empty list, where no server imposes a wait. */
 export function minOrZero(times: readonly number[]): number {
   return times.length === 0 ? 0 : Math.min(...times);
 }
 
-export function createThrottle({ clock, logger }: GatewayContext, limits: RateLimits): Throttle {
-  let rests: Backoffs = new Map();
-  /** Servers that rested when it was last looked. */
-  let resting: ReadonlySet<InstanceId> = new Set();
+export function createThrottle(
+  { clock, logger }: GatewayContext,
+  rateLimits: RateLimits,
+): Throttle {
+  let backoffs: Backoffs = new Map();
+  /** Servers that were in backoff at the last check. */
+  let backingOff: ReadonlySet<InstanceId> = new Set();
 
-  const leftMs = (server: InstanceId): number => backoffRemainingMs(rests, server, clock.now());
+  const remainingMs = (server: InstanceId): number =>
+    backoffRemainingMs(backoffs, server, clock.now());
 
-  const hasAnyEnded = (): boolean => {
-    const before = resting;
-    resting = new Set([...rests.keys()].filter((server) => leftMs(server) > 0));
-    return [...before].some((server) => !resting.has(server));
+  const hasAnyBackoffEnded = (): boolean => {
+    const before = backingOff;
+    backingOff = new Set([...backoffs.keys()].filter((server) => remainingMs(server) > 0));
+    return [...before].some((server) => !backingOff.has(server));
   };
 
   return {
-    tokens: (server) => (leftMs(server) > 0 ? 0 : limits.tokens(server)),
+    tokens: (server) => (remainingMs(server) > 0 ? 0 : rateLimits.tokens(server)),
     takeToken: (server) => {
-      limits.takeToken(server);
+      rateLimits.takeToken(server);
     },
-    msUntilToken: (server) => Math.max(leftMs(server), limits.msUntilToken(server)),
-    msUntilAccepted: (server) => Math.max(leftMs(server), limits.msUntilAccepted(server)),
-    isBackingOff: (server) => leftMs(server) > 0,
+    msUntilToken: (server) => Math.max(remainingMs(server), rateLimits.msUntilToken(server)),
+    msUntilAccepted: (server) => Math.max(remainingMs(server), rateLimits.msUntilAccepted(server)),
+    isBackingOff: (server) => remainingMs(server) > 0,
     noteBackoff: (server, restMs) => {
-      const next = noteBackoff(rests, server, restMs, clock.now());
-      if (next === rests) return;
-      rests = next;
-      logger.info('server rests', { step: 'rest', server, restMs: Math.round(leftMs(server)) });
+      const next = noteBackoff(backoffs, server, restMs, clock.now());
+      if (next === backoffs) return;
+      backoffs = next;
+      logger.info('server rests', {
+        step: 'rest',
+        server,
+        restMs: Math.round(remainingMs(server)),
+      });
     },
     tick: () => {
-      const haveRestsEnded = hasAnyEnded();
-      return limits.tick() || haveRestsEnded;
+      const haveBackoffsEnded = hasAnyBackoffEnded();
+      return rateLimits.tick() || haveBackoffsEnded;
     },
   };
 }
--- a/tests/gateway/slot-admission.test.ts
+++ b/tests/gateway/slot-admission.test.ts
@@ -35,13 +35,13 @@
 }
 
 const GROUPS = [group('1', 6), group('2', 0)];
-const HERE = { waiting: 4, perSecond: 20 };
+const LOCAL = { waiting: 4, perSecond: 20 };
 /** Far more on the other daemons than there is room for. */
-const BURST = { here: HERE, elsewhere: { waiting: 4, perSecond: 20 }, slackMs: 200 };
+const BURST = { local: LOCAL, remote: { waiting: 4, perSecond: 20 }, slackMs: 200 };
 /** Few that can be on time, and a backlog of late ones. */
 const BACKLOG = {
-  here: { waiting: 40, perSecond: 1 },
-  elsewhere: { waiting: 0, perSecond: 1 },
+  local: { waiting: 40, perSecond: 1 },
+  remote: { waiting: 0, perSecond: 1 },
   slackMs: 200,
 };
 
