--- a/src/app/gateway/arrivals.ts
+++ b/src/app/gateway/arrivals.ts
@@ -1,4 +1,4 @@
-/** How many requests for each model came to this daemon of late. */
+/** Recent arrival rates of requests for each model at this daemon. */
 
 import type { ModelId, MonoTime } from '../../core/ids';
 import type { GatewayContext } from './context';
@@ -10,38 +10,38 @@
   rates(): readonly (readonly [ModelId, number])[];
 }
 
-interface Decaying {
+interface DecayingSum {
   readonly sum: number;
   readonly at: MonoTime;
 }
 
-/** Weight of an arrival falls by e in this time: as long as a wave of callers, milliseconds. */
-const MEMORY_MS = 1_000;
-/** A model that is asked for less often than this is left out, requests a second. */
-const LEAST_RATE = 0.05;
+/** Time constant of the exponential decay, milliseconds: as long as a wave of callers. */
+const DECAY_MS = 1_000;
+/** Models with a lower rate are left out, requests a second. */
+const MIN_RATE = 0.05;
 
 export function createArrivals({ clock }: GatewayContext): Arrivals {
-  const seen = new Map<ModelId, Decaying>();
+  const sums = new Map<ModelId, DecayingSum>();
 
-  const sumNow = ({ sum, at }: Decaying, now: MonoTime): number =>
-    sum * Math.exp((at - now) / MEMORY_MS);
+  const decayedSum = ({ sum, at }: DecayingSum, now: MonoTime): number =>
+    sum * Math.exp((at - now) / DECAY_MS);
 
   const rate = (model: ModelId): number => {
-    const known = seen.get(model);
-    return known ? (sumNow(known, clock.now()) * 1_000) / MEMORY_MS : 0;
+    const entry = sums.get(model);
+    return entry ? (decayedSum(entry, clock.now()) * 1_000) / DECAY_MS : 0;
   };
 
   return {
     note: (model) => {
       const now = clock.now();
-      const known = seen.get(model);
-      seen.set(model, { sum: (known ? sumNow(known, now) : 0) + 1, at: now });
+      const entry = sums.get(model);
+      sums.set(model, { sum: (entry ? decayedSum(entry, now) : 0) + 1, at: now });
     },
     rate,
     rates: () =>
-      [...seen.keys()].flatMap((model) => {
-        const found = rate(model);
-        return found < LEAST_RATE ? [] : [[model, Number(found.toFixed(1))] as const];
+      [...sums.keys()].flatMap((model) => {
+        const current = rate(model);
+        return current < MIN_RATE ? [] : [[model, Number(current.toFixed(1))] as const];
       }),
   };
 }
--- a/src/app/gateway/config-view.ts
+++ b/src/app/gateway/config-view.ts
@@ -1,4 +1,6 @@
-/** The configuration in force on this daemon: the newest version that the store or a peer has shown. */
+/**
+ * The configuration in force on this daemon: the newest version received from the store or a peer.
+ */
 
 import { BehaviorSubject } from 'rxjs';
 
@@ -19,33 +21,41 @@
   readonly table: BehaviorSubject<RouteTable | undefined>;
   readonly watch: Watch;
   version(): number;
-  /** When the version in force was learned. */
+  /** When the version in force was adopted. */
   since(): MonoTime;
-  /** Time since the store last said, here or to the leader, that no version is newer, milliseconds. */
+  /**
+   * Time since the store last confirmed, here or to the leader, that no version is newer,
+   * milliseconds.
+   */
   ageMs(): number;
-  /** Puts a version in force if it is newer than the present one; it never goes back. */
+  /**
+   * Puts a version in force if it is newer than the current one; a version is never downgraded.
+   * Returns whether it did.
+   */
   adoptIfNewer(config: GatewayConfig, source: string): boolean;
 }
 
 /**
- * How long a poll waits for each daemon while the leader's word is young, milliseconds, and its bounds.
- * Whoever hears of a version tells the others, so that among many daemons each may ask less often.
+ * How long a poll waits while the leader's confirmation is fresh, milliseconds for each daemon, and
+ * the bounds of the total. A daemon that receives a version sends it to the others, so the more
+ * daemons there are, the less often each needs to poll.
  */
 const WAIT_PER_DAEMON_MS = 500;
-const LEAST_WAIT_MS = 4_000;
-const LONGEST_WAIT_MS = 20_000;
+const MIN_WAIT_MS = 4_000;
+const MAX_WAIT_MS = 20_000;
 /**
- * After a version a daemon asks again only after this part of the time in which versions must be in
- * force. An operator's series of them then costs a few calls of each daemon in place of one a version;
- * the rest of that time is for the call, and for peers where the store turns this daemon away.
+ * After a version a daemon polls again only after this fraction of the time in which versions must
+ * be in force. An operator's series of versions then costs each daemon a few calls instead of one
+ * per version; the rest of that time is for the call, and for peers if the store refuses this
+ * daemon.
  */
-const REST_SHARE = 0.15;
+const POLL_DELAY_SHARE = 0.15;
 
 export interface ConfigViewOptions {
   readonly feed: Feed<GatewayConfig>;
-  /** Daemons at work, as far as is known. */
+  /** Running daemons, as far as known. */
   readonly daemons: () => number;
-  /** What the leader said last, and lately. */
+  /** The leader's latest statement, if recent. */
   readonly leader: () => Pick<Leader, 'at' | 'progress'> | undefined;
 }
 
@@ -54,13 +64,13 @@
   { feed, daemons, leader }: ConfigViewOptions,
 ): ConfigView {
   const table = new BehaviorSubject<RouteTable | undefined>(undefined);
-  let since = ctx.clock.now();
+  let adoptedAt = ctx.clock.now();
 
   const version = (): number => table.value?.config.version ?? 0;
 
-  const offer = (config: GatewayConfig, source: string): boolean => {
+  const adoptIfNewer = (config: GatewayConfig, source: string): boolean => {
     if (config.version <= version()) return false;
-    since = ctx.clock.now();
+    adoptedAt = ctx.clock.now();
     ctx.logger.info('configuration in force', {
       step: 'config',
       version: config.version,
@@ -71,30 +81,32 @@
     return true;
   };
 
-  /** Age of the leader's knowledge by now, milliseconds, where it vouches for the version known here. */
-  const vouchedAgeMs = (now: MonoTime): number => {
-    const told = leader();
-    const { configAgeMs, configVersion } = told?.progress ?? {};
-    if (!told || configAgeMs === undefined || configVersion !== version()) return Infinity;
-    return configAgeMs + now - told.at;
+  /**
+   * Age of the leader's confirmation of the version known here, milliseconds; infinite if it
+   * confirms another version or none.
+   */
+  const confirmedAgeMs = (now: MonoTime): number => {
+    const leaderView = leader();
+    const { configAgeMs, configVersion } = leaderView?.progress ?? {};
+    if (!leaderView || configAgeMs === undefined || configVersion !== version()) return Infinity;
+    return configAgeMs + now - leaderView.at;
   };
 
-  const trustUntil = (now: MonoTime): MonoTime => {
-    const leftMs = maxCallMs(ctx.tunables.value.settleMs) - vouchedAgeMs(now);
-    return later(now, Math.max(0, leftMs));
+  const freshUntil = (now: MonoTime): MonoTime => {
+    const remainingMs = maxCallMs(ctx.tunables.value.settleMs) - confirmedAgeMs(now);
+    return later(now, Math.max(0, remainingMs));
   };
 
   const watch = watchFeed(ctx, {
     feed,
-    waitMs: () =>
-      Math.min(LONGEST_WAIT_MS, Math.max(LEAST_WAIT_MS, WAIT_PER_DAEMON_MS * daemons())),
-    freshUntil: trustUntil,
-    nextPollAt: (at) => later(at, ctx.tunables.value.configMs * REST_SHARE),
+    waitMs: () => Math.min(MAX_WAIT_MS, Math.max(MIN_WAIT_MS, WAIT_PER_DAEMON_MS * daemons())),
+    freshUntil,
+    nextPollAt: (at) => later(at, ctx.tunables.value.configMs * POLL_DELAY_SHARE),
     apply: (changes) => {
-      for (const { value } of changes) if (value) offer(value, 'store');
+      for (const { value } of changes) if (value) adoptIfNewer(value, 'store');
     },
   });
-  const ageMs = (): number => Math.min(watch.ageMs(), vouchedAgeMs(ctx.clock.now()));
+  const ageMs = (): number => Math.min(watch.ageMs(), confirmedAgeMs(ctx.clock.now()));
 
-  return { table, watch, version, since: () => since, ageMs, adoptIfNewer: offer };
+  return { table, watch, version, since: () => adoptedAt, ageMs, adoptIfNewer };
 }
--- a/src/app/gateway/context.ts
+++ b/src/app/gateway/context.ts
@@ -1,4 +1,4 @@
-/** What every part of a gateway daemon uses. */
+/** Dependencies shared by all parts of a gateway daemon. */
 
 import type { BehaviorSubject } from 'rxjs';
 
@@ -9,7 +9,7 @@
 
 export interface GatewayContext {
   readonly settings: GatewaySettings;
-  /** Settings in force now. */
+  /** Settings currently in force. */
   readonly tunables: BehaviorSubject<GatewayTunables>;
   readonly clock: Clock;
   readonly random: Random;
--- a/src/app/gateway/exchange.ts
+++ b/src/app/gateway/exchange.ts
@@ -1,4 +1,4 @@
-/** One request of a caller: what was asked, until when, and how it ends. */
+/** A caller's request with its deadlines, and the ways in which it ends. */
 
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
@@ -12,7 +12,7 @@
 import type { StepError } from '../../utils/errors';
 import type { GatewayContext } from './context';
 
-/** A request that was read whole and belongs to a route. */
+/** A completely received request that matches a route. */
 export interface Exchange {
   readonly req: IncomingMessage;
   readonly res: ServerResponse;
@@ -25,55 +25,63 @@
   readonly arrivedAt: MonoTime;
   /** The caller's own deadline. */
   readonly deadline: MonoTime;
-  /** An answer is due: the route's time limit, or shortly before the caller's deadline. */
+  /** When an answer is due: at the route's time limit, or shortly before the caller's deadline. */
   readonly answerBy: MonoTime;
-  /** A stream that has no place by then is refused: its caller would soon leave. */
-  readonly placeBy: MonoTime;
-  /** Aborted once the caller has gone. */
+  /** A stream without a slot at this time is refused, since its caller would soon disconnect. */
+  readonly slotBy: MonoTime;
+  /** Aborted once the caller has disconnected. */
   readonly gone: AbortSignal;
 }
 
-/** What may have happened to a request that has no answer. */
+/**
+ * What may have happened to a request that has no answer: it was not executed, or that is unknown.
+ */
 export type Execution = 'not-run' | 'unknown';
 
-/** Sent this long before the caller's deadline, an answer still reaches it, milliseconds. */
+/** An answer sent this long before the caller's deadline still arrives in time, milliseconds. */
 const ANSWER_MARGIN_MS = 25;
-/** Callers that name no deadline. */
+/** Deadline of callers that name none. */
 const DEFAULT_WAIT_MS = 30_000;
 
-/** Callers leave a stream that is silent for the longest of these; the platform's figures. */
-const LEAST_PATIENCE_MS = 2_000;
+/**
+ * Callers abandon a stream that is silent for the longest of these times, which the platform
+ * specifies.
+ */
+const MIN_PATIENCE_MS = 2_000;
 const PATIENCE_OBJECTIVES = 4;
 const PATIENCE_GAPS = 8;
-/** Part of that time which may pass before a place is found; the rest is for reading the prompt. */
-const PLACE_SHARE = 0.65;
+/** Fraction of that time that may pass before a slot is found; the rest is for the prefill. */
+const SLOT_SHARE = 0.65;
 
 function patienceMs({ targetMs, maxPauseMs }: Route): number {
-  return Math.max(LEAST_PATIENCE_MS, PATIENCE_OBJECTIVES * targetMs, PATIENCE_GAPS * maxPauseMs);
+  return Math.max(MIN_PATIENCE_MS, PATIENCE_OBJECTIVES * targetMs, PATIENCE_GAPS * maxPauseMs);
 }
 
 export function deadlinesOf(
   facts: CallFacts,
   route: Route,
   arrivedAt: MonoTime,
-): Pick<Exchange, 'deadline' | 'answerBy' | 'placeBy'> {
+): Pick<Exchange, 'deadline' | 'answerBy' | 'slotBy'> {
   const deadline = later(arrivedAt, facts.waitMs ?? DEFAULT_WAIT_MS);
   const limit = later(arrivedAt, route.timeoutMs);
   const margin = later(deadline, -ANSWER_MARGIN_MS);
   const answerBy = limit < margin ? limit : margin;
-  const placeBy = later(arrivedAt, PLACE_SHARE * patienceMs(route));
-  return { deadline, answerBy, placeBy: placeBy < answerBy ? placeBy : answerBy };
+  const slotBy = later(arrivedAt, SLOT_SHARE * patienceMs(route));
+  return { deadline, answerBy, slotBy: slotBy < answerBy ? slotBy : answerBy };
 }
 
-/** Where the time of a stream went, milliseconds. */
+/** Where the time of a stream was spent, milliseconds. */
 export interface StreamTimes {
-  /** Until it had a place in a group, over all attempts. */
+  /** Waiting for a slot in a group, over all attempts. */
   readonly waitedMs: number;
-  /** From its arrival until its caller was sent the first event; absent where none came. */
+  /**
+   * From the arrival of the request to the first event sent to the caller; absent if there was
+   * none.
+   */
   readonly firstEventMs?: number;
 }
 
-/** What is noted of a request at its end. */
+/** What is logged about a request when it ends. */
 export interface RequestEnd extends Partial<StreamTimes> {
   readonly outcome: 'served' | 'refused' | 'failed' | 'torn' | 'caller-gone';
   readonly status: number;
@@ -103,7 +111,7 @@
   else ctx.logger.warn('request ended', fields);
 }
 
-/** One send that brought no answer for the caller. */
+/** An attempt that produced no answer for the caller. */
 export interface FailedAttempt {
   readonly server: InstanceId;
   readonly group?: GroupId;
@@ -124,27 +132,35 @@
   });
 }
 
-/** The server asked for rest after the request was chosen for it. */
+/** Error of a request whose server asked this daemon to back off after it was selected. */
 export function backoffError(): StepError {
-  return fail('cancelled', 'the server rests', { step: 'send' });
+  return fail('cancelled', 'the server asked to back off', { step: 'send' });
 }
 
-/** When a refused caller should come back, milliseconds; spread so that callers do not come together. */
+/**
+ * When a refused caller should retry, milliseconds; with jitter, so that callers do not retry
+ * together.
+ */
 export interface RetryAfter {
   readonly minMs: number;
   readonly spreadMs: number;
 }
 
-/** All places are taken: one becomes free every few milliseconds. */
-const WHEN_FULL: RetryAfter = { minMs: 60, spreadMs: 140 };
-/** No group serves the model: forming one takes between half a second from warm servers and a load of weights. */
+/** All slots are taken: one becomes free every few milliseconds. */
+const RETRY_AFTER_FULL: RetryAfter = { minMs: 60, spreadMs: 140 };
+/**
+ * No group serves the model: forming one takes from half a second with warm servers to a full load
+ * of weights.
+ */
 export const RETRY_AFTER_UNSERVED: RetryAfter = { minMs: 1_000, spreadMs: 600 };
 
-/** All that could serve it take one more only so much later: callers come back then, and not together. */
+/**
+ * For servers that accept no request for `ms` milliseconds: callers retry then, spread over time.
+ */
 export function retryAfterDelay(ms: number): RetryAfter {
   return {
-    minMs: Math.max(WHEN_FULL.minMs, ms),
-    spreadMs: Math.max(WHEN_FULL.spreadMs, ms / 2),
+    minMs: Math.max(RETRY_AFTER_FULL.minMs, ms),
+    spreadMs: Math.max(RETRY_AFTER_FULL.spreadMs, ms / 2),
   };
 }
 
@@ -154,11 +170,14 @@
   readonly retryAfter?: RetryAfter;
 }
 
-/** Answers in the daemon's own name. 503 promises that the request has not run and never will. */
+/**
+ * Sends an answer of the daemon's own. Status 503 guarantees that the request was not and will not
+ * be executed.
+ */
 export function answerLocally(
   ctx: GatewayContext,
   res: ServerResponse,
-  { status, message, retryAfter = WHEN_FULL }: LocalAnswer,
+  { status, message, retryAfter = RETRY_AFTER_FULL }: LocalAnswer,
 ): void {
   if (res.headersSent || res.destroyed) return;
   const body = Buffer.from(JSON.stringify({ error: { message } }));
@@ -171,7 +190,7 @@
   res.end(body);
 }
 
-/** What became of a request that has no answer. */
+/** State of a request that ends without an answer. */
 export interface UnansweredRequest {
   readonly exposure: Execution;
   readonly reason: string;
@@ -180,7 +199,10 @@
   readonly times?: StreamTimes;
 }
 
-/** Ends a request that has no answer: refused where it surely has not run, failed otherwise. */
+/**
+ * Ends a request without an answer: refused (503) if it was certainly not executed, otherwise
+ * failed (502, or 504 if late).
+ */
 export function endUnanswered(
   ctx: GatewayContext,
   exchange: Exchange,
--- a/src/app/gateway/gateway.ts
+++ b/src/app/gateway/gateway.ts
@@ -1,4 +1,4 @@
-/** One gateway daemon: puts its parts together, starts them, and stops without cutting a request. */
+/** Assembles, starts and gracefully stops one gateway daemon. */
 
 import { createUpstream } from '../../adapters/upstream/upstream';
 import type { Dialect, EraTable, Feeds, Servers } from '../../ports/gateway';
@@ -32,28 +32,35 @@
   readonly servers: Servers;
   readonly dialect: Dialect;
   readonly readyPath: string;
-  /** Enters this daemon's peer address where others find it, or takes it out. */
+  /** Registers this daemon's peer address where others find it, or removes it. */
   readonly announce: (isHere: boolean) => Promise<void>;
 }
 
 export interface Gateway {
-  /** Resolves once all is handed back and nothing is in flight, or the time for it is over. */
+  /**
+   * Resolves once everything is released and no request is in flight, or when the shutdown time is
+   * over.
+   */
   stop(): Promise<void>;
 }
 
-/** All that is due is looked at this often: well below the shortest time that anything here waits for. */
+/** Interval of periodic work: well below the shortest timeout here. */
 const TICK_MS = 50;
-/** The balancer asks once a second and needs two misses; then new connections stay away. */
-const BALANCER_MS = 2_600;
 /**
- * Left of the time for a stop once requests are cut: the last answers reach their callers, links to
- * peers are closed (500 ms at most) and the last lines of the log are written (200 ms at most).
+ * The load balancer probes once a second and needs two failures; after that it sends no new
+ * connections.
  */
-const STOP_MARGIN_MS = 900;
+const BALANCER_DETECTION_MS = 2_600;
+/**
+ * Part of the shutdown time that remains when requests are aborted, for the last answers to reach
+ * their callers, links to peers to close (500 ms at most) and the last log lines to be written (200
+ * ms at most).
+ */
+const SHUTDOWN_MARGIN_MS = 900;
 const CONNECT_TIMEOUT_MS = 400;
 const IDLE_MS = 4_000;
-/** Daemons enter themselves again within this time of the store's return, milliseconds. */
-const ANNOUNCE_SPREAD_MS = 1_500;
+/** Daemons register again within this time after the store's return, milliseconds. */
+const REREGISTER_SPREAD_MS = 1_500;
 
 export async function startGateway(options: GatewayOptions): Promise<Gateway> {
   const { ctx, feeds, dialect } = options;
@@ -68,65 +75,71 @@
     leader: () => fleet.leader(),
   });
   const leadership = createLeadership(ctx, options.table, fleet);
-  const roster = createServerRegistry(ctx, {
+  const serverRegistry = createServerRegistry(ctx, {
     feed: feeds.servers,
     isLeading: () => leadership.heldFencing() !== undefined,
     leader: () => fleet.leader(),
   });
   const routes = () => config.table.value;
-  const limits = createRateLimits(ctx, {
+  const rateLimits = createRateLimits(ctx, {
     daemons: () => {
       const silent = new Set(fleet.silent());
       return [...fleet.candidates().keys()].filter((id) => !silent.has(id));
     },
-    isRemoved: (server) => !roster.servers.has(server),
-    publish: (others, told) => {
-      fleet.sendTo(others, { kind: 'limits', limits: told });
+    isRemoved: (server) => !serverRegistry.servers.has(server),
+    publish: (recipients, updates) => {
+      fleet.sendTo(recipients, { kind: 'limits', limits: updates });
     },
   });
-  const leaving = createLeavingServers(ctx, roster);
-  const allowances = createThrottle(ctx, limits);
-  const board = createGroupRegistry(ctx, roster, config.table, allowances);
-  const waiting = createWaitQueue(ctx, board);
+  const leavingServers = createLeavingServers(ctx, serverRegistry);
+  const throttle = createThrottle(ctx, rateLimits);
+  const groupRegistry = createGroupRegistry(ctx, serverRegistry, config.table, throttle);
+  const waitQueue = createWaitQueue(ctx, groupRegistry);
   const arrivals = createArrivals(ctx);
-  const former = createGroupPlanner(ctx, {
-    roster,
+  const planner = createGroupPlanner(ctx, {
+    roster: serverRegistry,
     routes,
     leadership,
     servers: options.servers,
-    isBusy: (group) => board.isBusy(group),
-    offeredLoad: () => board.offeredLoad(),
+    isBusy: (group) => groupRegistry.isBusy(group),
+    offeredLoad: () => groupRegistry.offeredLoad(),
   });
   const upstream = createUpstream({ connectTimeoutMs: CONNECT_TIMEOUT_MS, idleMs: IDLE_MS });
-  // Entries count as well: a daemon that has just started hears of few peers, and would take a larger part.
-  const sharers = (): number => Math.max(fleet.size(), fleet.candidates().size);
-  const retries = createRetries(ctx, sharers);
-  const statements = createServerNotices(ctx, { dialect, limits, throttle: allowances, leaving });
+  // Registered daemons are counted as well: a daemon that has just started hears from few peers and
+  // would take too large a share.
+  const countSharingDaemons = (): number => Math.max(fleet.size(), fleet.candidates().size);
+  const retries = createRetries(ctx, countSharingDaemons);
+  const notices = createServerNotices(ctx, {
+    dialect,
+    limits: rateLimits,
+    throttle,
+    leaving: leavingServers,
+  });
   options.servers.heads.subscribe((head) => {
-    statements.apply(head);
+    notices.apply(head);
   });
   const plain = createPlainCalls({
-    ...{ ctx, roster, upstream, dialect, retries, notices: statements, throttle: allowances },
+    ...{ ctx, roster: serverRegistry, upstream, dialect, retries, notices, throttle },
   });
   const streams = createStreamCalls({
-    ...{ ctx, board, upstream, dialect, retries, notices: statements, throttle: allowances },
-    ...{ waiting, arrivals, daemons: sharers },
+    ...{ ctx, board: groupRegistry, upstream, dialect, retries, notices, throttle },
+    ...{ waiting: waitQueue, arrivals, daemons: countSharingDaemons },
   });
   const gossip = createGossip({
     ctx,
     config,
-    roster,
-    board,
+    roster: serverRegistry,
+    board: groupRegistry,
     fleet,
-    planner: former,
+    planner,
     leadership,
-    waiting,
+    waiting: waitQueue,
     arrivals,
-    limits,
-    leaving,
+    limits: rateLimits,
+    leaving: leavingServers,
     isStopping: () => isStopping,
   });
-  const front = createHttpServer({
+  const httpServer = createHttpServer({
     ctx,
     config,
     dialect,
@@ -138,10 +151,10 @@
   });
 
   const isReady = (): boolean =>
-    !isStopping && config.table.value !== undefined && roster.servers.size > 0;
+    !isStopping && config.table.value !== undefined && serverRegistry.servers.size > 0;
 
   await fleet.start();
-  await front.start();
+  await httpServer.start();
   const ready = await listenReady(ctx, { path: options.readyPath, isReady });
   void options.announce(true);
   ctx.store.eras.subscribe(({ before, era, source }) => {
@@ -151,36 +164,39 @@
     // The older copy may lack this daemon's own entry.
     setTimeout(() => {
       if (!isStopping) void options.announce(true);
-    }, ctx.random.next() * ANNOUNCE_SPREAD_MS);
+    }, ctx.random.next() * REREGISTER_SPREAD_MS);
   });
-  roster.changes.subscribe(() => {
-    former.tick();
+  serverRegistry.changes.subscribe(() => {
+    planner.tick();
   });
   const ticker = setInterval(() => {
     leadership.tick();
-    roster.tick();
-    board.tick();
+    serverRegistry.tick();
+    groupRegistry.tick();
     gossip.tick();
-    former.tick();
+    planner.tick();
   }, TICK_MS);
   logger.info('started', { step: 'start', listen: settings.listen, zone: settings.zone });
 
   const finish = async (): Promise<void> => {
-    const deadline = later(clock.now(), ctx.tunables.value.shutdownMs - STOP_MARGIN_MS);
-    const closeAt = later(clock.now(), BALANCER_MS);
-    logger.info('stopping', { step: 'stop', inFlight: front.inFlight() });
+    const deadline = later(clock.now(), ctx.tunables.value.shutdownMs - SHUTDOWN_MARGIN_MS);
+    const closeListenerAt = later(clock.now(), BALANCER_DETECTION_MS);
+    logger.info('stopping', { step: 'stop', inFlight: httpServer.inFlight() });
     isStopping = true;
-    front.beginStop();
+    httpServer.beginStop();
     leadership.release();
     void options.announce(false);
-    while (clock.now() < closeAt) await pause(TICK_MS);
-    front.closeListener();
-    while (front.inFlight() > 0 && clock.now() < deadline) await pause(TICK_MS);
-    const left = front.inFlight();
-    if (left > 0)
-      logger.warn('requests cut at the end of the stop', { step: 'stop', inFlight: left });
+    while (clock.now() < closeListenerAt) await pause(TICK_MS);
+    httpServer.closeListener();
+    while (httpServer.inFlight() > 0 && clock.now() < deadline) await pause(TICK_MS);
+    const remaining = httpServer.inFlight();
+    if (remaining > 0)
+      logger.warn('requests aborted at the end of the shutdown', {
+        step: 'stop',
+        inFlight: remaining,
+      });
     clearInterval(ticker);
-    front.closeConnections();
+    httpServer.closeConnections();
     upstream.close();
     ready.close();
     await fleet.stop();
--- a/src/app/gateway/gossip.ts
+++ b/src/app/gateway/gossip.ts
@@ -1,4 +1,4 @@
-/** Tells peers what this daemon knows, and gives those that are behind what they lack. */
+/** Exchanges state with peers and sends those that are behind what they are missing. */
 
 import { mergeUpdates } from '../../core/gateway/collection-updates';
 import type { ConfigVersion, MonoTime } from '../../core/ids';
@@ -38,80 +38,92 @@
 
 export interface Gossip {
   tick(): void;
-  /** Callers are being served here. */
+  /** Notes that this daemon serves callers. */
   noteTraffic(): void;
 }
 
-/** Between two statements of a daemon with few peers: a fraction of the time that a stream takes. */
-const LEAST_INTERVAL_MS = 100;
-/** Between two statements to all in a large fleet that hears of no leader. */
-const LARGE_INTERVAL_MS = 1_200;
-/** Between two statements to the leader of a large fleet, and of the leader to all. */
-const LOADS_MS = 200;
-/** Loads in a large fleet go to a relay, to the leader and back: each daemon's statement is this old at most. */
-const RELAYED_AGE_MS = 2 * LOADS_MS;
-/** Added for each peer, so that a daemon's messages do not grow with the fleet. */
+/** Interval of a daemon with few peers: a fraction of the duration of a stream. */
+const MIN_INTERVAL_MS = 100;
+/** Interval of messages to likely leaders in a large fleet without a leader. */
+const LEADERLESS_INTERVAL_MS = 1_200;
+/** Interval of messages to the leader of a large fleet, and of the leader to all daemons. */
+const LOADS_INTERVAL_MS = 200;
+/**
+ * Loads in a large fleet travel to a relay, to the leader and back: the state of each daemon is at
+ * most this old.
+ */
+const RELAYED_LOAD_AGE_MS = 2 * LOADS_INTERVAL_MS;
+/** Added for each peer, so that a daemon's message rate does not grow with the fleet. */
 const INTERVAL_PER_PEER_MS = 9;
-/** Loads of peers that fell silent are dropped at this interval at the latest. */
-const NEWS_MS = 500;
-/** The store tells all daemons of a version within milliseconds; peers send it to one that lacks it after this. */
-const HELP_AFTER_MS = 250;
-/** Daemons of a large fleet, beside its leader, that help the same peer at a time. */
-const HELPERS = 3;
-/** News of servers to a large fleet go together for so long: half of the time between two statements of loads. */
-const NEWS_TOGETHER_MS = 100;
-/** The same peer is not helped again before this. */
-const HELP_AGAIN_MS = 500;
+/** Loads of peers that fell silent are dropped after this interval at the latest. */
+const LOADS_REFRESH_MS = 500;
+/**
+ * The store informs all daemons of a version within milliseconds; peers send it to a daemon that
+ * lacks it after this delay.
+ */
+const HELP_DELAY_MS = 250;
+/** Daemons of a large fleet, other than the leader, that help the same peer at a time. */
+const MAX_HELPERS = 3;
+/** Server updates to a large fleet are batched for this long: half of the interval of loads. */
+const UPDATE_BATCH_MS = 100;
+/** Minimum time between two messages that help the same peer. */
+const HELP_INTERVAL_MS = 500;
 
-/** Between two statements of a daemon that tells `peers` of them directly. */
+/** Interval of a daemon that sends its state to `peers` other daemons directly. */
 function intervalMs(peers: number): number {
-  return LEAST_INTERVAL_MS + INTERVAL_PER_PEER_MS * peers;
+  return MIN_INTERVAL_MS + INTERVAL_PER_PEER_MS * peers;
 }
 
 export function createGossip(deps: GossipDeps): Gossip {
   const {
     ctx,
     config,
-    roster,
-    board,
+    roster: serverRegistry,
+    board: groupRegistry,
     fleet,
-    planner: former,
+    planner,
     leadership,
-    waiting,
+    waiting: waitQueue,
     arrivals,
-    limits,
-    leaving,
+    limits: rateLimits,
+    leaving: leavingServers,
   } = deps;
-  const helped = new Map<string, MonoTime>();
+  const nextHelpAt = new Map<string, MonoTime>();
   let dueAt = ctx.clock.now();
   let hasTraffic = false;
-  let hasNews = false;
-  let newsDueAt = ctx.clock.now();
+  let hasNewState = false;
+  let directLoadsDueAt = ctx.clock.now();
   let loadsDueAt = ctx.clock.now();
   /** The state last sent to the leader. */
-  let told: PeerState | undefined;
-  /** How far the servers are known, and since when. */
+  let lastSentState: PeerState | undefined;
+  /** Position up to which the servers are known, and since when. */
   let serversAt = ORIGIN_POSITION;
   let serversSince = ctx.clock.now();
-  const workLog = createWorkLog(ctx, board, roster.servers);
-  const findings = createStallReporting({ ctx, board, fleet, planner: former, leadership });
-  /** News that wait to be told, and from when on they may be. */
-  let pendingNews: ServerUpdates | undefined;
-  let tellNewsAt = ctx.clock.now();
+  const workLog = createWorkLog(ctx, groupRegistry, serverRegistry.servers);
+  const stallReporting = createStallReporting({
+    ctx,
+    board: groupRegistry,
+    fleet,
+    planner,
+    leadership,
+  });
+  /** Server updates that wait to be published, and the earliest time to do so. */
+  let pendingUpdates: ServerUpdates | undefined;
+  let publishUpdatesAt = ctx.clock.now();
 
-  /** By model: requests that wait here, and those that come in a second. */
-  const asked = (): PeerState['waiting'] => {
-    const models = new Set([...waiting.waiting(), ...arrivals.rates()].map(([model]) => model));
-    return [...models].map((model) => [model, waiting.count(model), arrivals.rate(model)]);
+  /** By model: waiting requests and the arrival rate, requests a second. */
+  const offeredLoad = (): PeerState['waiting'] => {
+    const models = new Set([...waitQueue.waiting(), ...arrivals.rates()].map(([model]) => model));
+    return [...models].map((model) => [model, waitQueue.count(model), arrivals.rate(model)]);
   };
 
   const ownState = (lease = leadership.ownLease()): PeerState => ({
     kind: 'state',
     configVersion: config.version(),
-    serversAt: roster.changedAt(),
+    serversAt: serverRegistry.changedAt(),
     storeEra: ctx.store.era(),
-    isStoreLost: roster.watch.isFailing(),
-    storeAgeMs: Math.round(roster.watch.ageMs()),
+    isStoreLost: serverRegistry.watch.isFailing(),
+    storeAgeMs: Math.round(serverRegistry.watch.ageMs()),
     configAgeMs: Math.round(config.watch.ageMs()),
     hasTraffic,
     isStopping: deps.isStopping(),
@@ -119,105 +131,117 @@
     cores: ctx.settings.cores,
     hearsLeader: lease !== undefined || fleet.leader() !== undefined,
     ...(lease && { lease }),
-    running: board.running().map((entry) => [...entry]),
-    quiet: board.quiet().map((entry) => [...entry]),
-    paces: board.paces().map((entry) => [...entry]),
-    waiting: asked(),
-    limits: limits.report(),
-    leaving: leaving.report(),
+    running: groupRegistry.running().map((entry) => [...entry]),
+    quiet: groupRegistry.quiet().map((entry) => [...entry]),
+    paces: groupRegistry.paces().map((entry) => [...entry]),
+    waiting: offeredLoad(),
+    limits: rateLimits.report(),
+    leaving: leavingServers.report(),
   });
 
   const noteTraffic = (): void => {
     if (hasTraffic) return;
     hasTraffic = true;
-    former.noteTraffic();
+    planner.noteTraffic();
   };
 
   const mayHelp = (key: string): boolean => {
     const now = ctx.clock.now();
-    const again = helped.get(key);
-    if (again !== undefined && now < again) return false;
-    helped.set(key, later(now, HELP_AGAIN_MS));
+    const nextAt = nextHelpAt.get(key);
+    if (nextAt !== undefined && now < nextAt) return false;
+    nextHelpAt.set(key, later(now, HELP_INTERVAL_MS));
     return true;
   };
 
-  /** In a large fleet the leader helps, and of the others only a few: all hear of the same need. */
+  /**
+   * In a large fleet the leader helps, and only a few of the other daemons: all receive the same
+   * state.
+   */
   const isHelper = (): boolean =>
     !fleet.isLarge() ||
     leadership.ownLease() !== undefined ||
-    ctx.random.next() < HELPERS / fleet.size();
+    ctx.random.next() < MAX_HELPERS / fleet.size();
 
-  /** A peer behind this daemon is turned away by the store, or has just started. */
-  const help = (peer: PeerProgress, address: string): void => {
+  /**
+   * Sends a peer that is behind what it is missing: the store refuses it, or it has just started.
+   */
+  const sendMissing = (peer: PeerProgress, address: string): void => {
     if (!isHelper()) return;
     const now = ctx.clock.now();
     const table = config.table.value;
-    const isOld = now >= later(config.since(), HELP_AFTER_MS) || peer.configVersion === 0;
-    if (table && peer.configVersion < config.version() && isOld && mayHelp(`config ${address}`)) {
+    const isOldEnough = now >= later(config.since(), HELP_DELAY_MS) || peer.configVersion === 0;
+    if (
+      table &&
+      peer.configVersion < config.version() &&
+      isOldEnough &&
+      mayHelp(`config ${address}`)
+    ) {
       fleet.send(address, { kind: 'config', config: table.config });
     }
-    if (isLater(roster.changedAt(), serversAt)) {
-      serversAt = roster.changedAt();
+    if (isLater(serverRegistry.changedAt(), serversAt)) {
+      serversAt = serverRegistry.changedAt();
       serversSince = now;
     }
-    const isLong = now >= later(serversSince, HELP_AFTER_MS);
-    const isBehind = isLong && isLater(serversAt, peer.serversAt);
-    // One that knows of no server at all is told even what this daemon can't look up any more.
-    const isFresh = !roster.watch.isFailing() || !isLater(peer.serversAt, ORIGIN_POSITION);
-    const canTell = peer.isStoreLost && isFresh;
-    if (isBehind && canTell && mayHelp(`servers ${address}`)) {
+    const isSettled = now >= later(serversSince, HELP_DELAY_MS);
+    const isBehind = isSettled && isLater(serversAt, peer.serversAt);
+    // A peer that knows no servers at all gets them even if this daemon can't confirm them with the
+    // store.
+    const isFresh = !serverRegistry.watch.isFailing() || !isLater(peer.serversAt, ORIGIN_POSITION);
+    const canSendServers = peer.isStoreLost && isFresh;
+    if (isBehind && canSendServers && mayHelp(`servers ${address}`)) {
       fleet.send(address, {
         kind: 'servers',
         at: serversAt,
-        servers: [...roster.servers.values()],
+        servers: [...serverRegistry.servers.values()],
       });
     }
   };
 
-  const take: {
+  const handlers: {
     readonly [K in PlainMessage['kind']]: (
       message: Extract<PlainMessage, { kind: K }>,
       from: ReceivedMessage,
     ) => void;
   } = {
     state: (state, { from, address }) => {
-      hasNews = true;
+      hasNewState = true;
       ctx.store.noteEra(state.storeEra, `peer ${from}`);
-      findings.noteIdleTimes(state.quiet);
-      limits.applyReport(state.limits, `peer ${from}`);
-      leaving.applyReport(state.leaving, `peer ${from}`);
+      stallReporting.noteIdleTimes(state.quiet);
+      rateLimits.applyReport(state.limits, `peer ${from}`);
+      leavingServers.applyReport(state.leaving, `peer ${from}`);
       if (state.hasTraffic) noteTraffic();
       if (state.lease) leadership.notePeerLease(state.lease);
-      help(state, address);
+      sendMissing(state, address);
     },
     stalled: ({ group, head, finding }, { from }) => {
-      if (board.find(head)?.id === group) findings.receive(finding, { group, head }, from);
+      if (groupRegistry.find(head)?.id === group)
+        stallReporting.receive(finding, { group, head }, from);
     },
     limits: (message, { from }) => {
-      limits.applyReport(message.limits, `peer ${from}`);
+      rateLimits.applyReport(message.limits, `peer ${from}`);
     },
-    config: ({ config: offered }, { from }) => {
-      const version = brandAs<ConfigVersion>(offered.version);
-      config.adoptIfNewer({ ...offered, version }, `peer ${from}`);
+    config: ({ config: received }, { from }) => {
+      const version = brandAs<ConfigVersion>(received.version);
+      config.adoptIfNewer({ ...received, version }, `peer ${from}`);
     },
     servers: ({ at, servers }) => {
-      roster.adoptFromPeer(at, servers);
+      serverRegistry.adoptFromPeer(at, servers);
     },
     loads: (sums, { from, address }) => {
       ctx.store.noteEra(sums.storeEra, `peer ${from}`);
       leadership.notePeerLease(sums.lease);
       if (sums.hasTraffic) noteTraffic();
-      limits.applyReport(sums.limits, `peer ${from}`);
-      leaving.applyReport(sums.leaving, `peer ${from}`);
-      board.applyLoads(told ? withoutOwn(sums, told) : sums, {
-        coversMost: isMost(sums.daemons),
+      rateLimits.applyReport(sums.limits, `peer ${from}`);
+      leavingServers.applyReport(sums.leaving, `peer ${from}`);
+      groupRegistry.applyLoads(lastSentState ? withoutOwn(sums, lastSentState) : sums, {
+        coversMost: isMajority(sums.daemons),
         isLeaderless: false,
-        ageMs: RELAYED_AGE_MS,
+        ageMs: RELAYED_LOAD_AGE_MS,
       });
-      help(sums, address);
+      sendMissing(sums, address);
     },
     news: ({ since, upTo, changes }) => {
-      roster.applyUpdates({
+      serverRegistry.applyUpdates({
         since,
         upTo,
         changes: changes.map(({ key, value }) => (value ? { key, value } : { key })),
@@ -226,38 +250,41 @@
   };
 
   fleet.received.subscribe((received) => {
-    take[received.message.kind](received.message as never, received);
+    handlers[received.message.kind](received.message as never, received);
   });
 
-  /** Whether so many daemons are most of those that may be at work. */
-  const isMost = (daemons: number): boolean => 2 * daemons > fleet.candidates().size;
+  /** Whether this many daemons are a majority of those that may be running. */
+  const isMajority = (daemons: number): boolean => 2 * daemons > fleet.candidates().size;
 
-  const takeDirectLoads = (now: MonoTime, peers: readonly PeerView[]): void => {
-    if (!hasNews && now < newsDueAt) return;
-    board.applyLoads(sumLoads(peers), {
-      coversMost: isMost(peers.length + 1),
+  const applyDirectLoads = (now: MonoTime, peers: readonly PeerView[]): void => {
+    if (!hasNewState && now < directLoadsDueAt) return;
+    groupRegistry.applyLoads(sumLoads(peers), {
+      coversMost: isMajority(peers.length + 1),
       isLeaderless: false,
       ageMs: intervalMs(peers.length),
     });
-    hasNews = false;
-    newsDueAt = later(now, NEWS_MS);
+    hasNewState = false;
+    directLoadsDueAt = later(now, LOADS_REFRESH_MS);
   };
 
-  /** Sends this daemon's state to the leader, or broadcasts the sum of all as the leader. */
+  /**
+   * Sends this daemon's state to the leader, or, as the leader, publishes the sum over all daemons.
+   */
   const exchangeLoads = (now: MonoTime, peers: readonly PeerView[]): void => {
     if (now < loadsDueAt) return;
-    loadsDueAt = later(now, LOADS_MS);
+    loadsDueAt = later(now, LOADS_INTERVAL_MS);
     const state = ownState();
     const { lease, configVersion, serversAt: at, storeEra } = state;
     const { isStoreLost, storeAgeMs, configAgeMs } = state;
     if (lease) {
-      board.applyLoads(sumLoads(peers), {
-        coversMost: isMost(peers.length + 1),
+      groupRegistry.applyLoads(sumLoads(peers), {
+        coversMost: isMajority(peers.length + 1),
         isLeaderless: false,
-        ageMs: RELAYED_AGE_MS,
+        ageMs: RELAYED_LOAD_AGE_MS,
       });
-      // Who hears of a revision before the news that lead to it would ask the store for them.
-      flushNews();
+      // A daemon that learned of a position before the updates leading to it would fetch them from
+      // the store.
+      flushUpdates();
       fleet.broadcastAsLeader({
         kind: 'loads',
         configVersion,
@@ -269,54 +296,59 @@
         hasTraffic,
         lease,
         daemons: peers.length + 1,
-        // One that has just started knows none, and would send as if there were none.
-        limits: limits.reportToAll(peers.some(({ hearsLeader }) => !hearsLeader)),
+        // A daemon that has just started knows no limits and would send without any.
+        limits: rateLimits.reportToAll(peers.some(({ hearsLeader }) => !hearsLeader)),
         silent: [...fleet.silent()],
-        leaving: leaving.report({ ofAll: true }),
+        leaving: leavingServers.report({ ofAll: true }),
         ...sumLoads([...peers, state]),
       });
       return;
     }
-    told = state;
+    lastSentState = state;
     const leader = fleet.leader();
-    if (leader) fleet.answer(leader, told);
+    if (leader) fleet.answer(leader, lastSentState);
     else {
-      const facts = { coversMost: false, isLeaderless: true, ageMs: RELAYED_AGE_MS };
-      board.applyLoads(sumLoads(peers), facts);
+      const source = { coversMost: false, isLeaderless: true, ageMs: RELAYED_LOAD_AGE_MS };
+      groupRegistry.applyLoads(sumLoads(peers), source);
     }
   };
 
-  /** Tells all peers; in a large fleet the leader does, and without one those that may become it are told. */
-  const tellAll = (now: MonoTime, peers: readonly PeerView[], isLarge: boolean): void => {
+  /**
+   * Sends this daemon's state to all peers. A large fleet leaves this to its leader; without one,
+   * the state goes to likely leaders.
+   */
+  const publishState = (now: MonoTime, peers: readonly PeerView[], isLarge: boolean): void => {
     if (now < dueAt) return;
-    findings.expire(now);
-    const extraMs = isLarge ? LARGE_INTERVAL_MS - LEAST_INTERVAL_MS : 0;
+    stallReporting.expire(now);
+    const extraMs = isLarge ? LEADERLESS_INTERVAL_MS - MIN_INTERVAL_MS : 0;
     dueAt = later(now, intervalMs(peers.length) + extraMs);
     if (!isLarge) fleet.broadcast(ownState());
     else if (!fleet.leader() && !leadership.ownLease()) fleet.sendToLikelyLeaders(ownState());
   };
 
-  /** News of a short time go together: each message is passed on to the whole fleet. */
-  const tellNews = (now: MonoTime): void => {
-    if (now < tellNewsAt) return;
-    tellNewsAt = later(now, fleet.isLarge() ? NEWS_TOGETHER_MS : 0);
-    flushNews();
+  /**
+   * Publishes server updates in batches: in a large fleet, each message is relayed to every daemon.
+   */
+  const publishUpdates = (now: MonoTime): void => {
+    if (now < publishUpdatesAt) return;
+    publishUpdatesAt = later(now, fleet.isLarge() ? UPDATE_BATCH_MS : 0);
+    flushUpdates();
   };
 
-  const flushNews = (): void => {
-    if (!pendingNews) return;
-    const { since, upTo, changes } = pendingNews;
-    pendingNews = undefined;
+  const flushUpdates = (): void => {
+    if (!pendingUpdates) return;
+    const { since, upTo, changes } = pendingUpdates;
+    pendingUpdates = undefined;
     fleet.broadcastAsLeader({ kind: 'news', since, upTo, changes: [...changes] });
   };
 
-  roster.news.subscribe((news) => {
+  serverRegistry.news.subscribe((updates) => {
     if (leadership.heldFencing() === undefined) {
-      pendingNews = undefined;
+      pendingUpdates = undefined;
       return;
     }
-    pendingNews = mergeUpdates(pendingNews, news);
-    tellNews(ctx.clock.now());
+    pendingUpdates = mergeUpdates(pendingUpdates, updates);
+    publishUpdates(ctx.clock.now());
   });
 
   return {
@@ -326,9 +358,9 @@
       const peers = fleet.live();
       const isLarge = fleet.isLarge();
       if (isLarge) exchangeLoads(now, peers);
-      else takeDirectLoads(now, peers);
-      tellAll(now, peers, isLarge);
-      tellNews(now);
+      else applyDirectLoads(now, peers);
+      publishState(now, peers, isLarge);
+      publishUpdates(now);
       if (leadership.heldFencing() !== undefined) workLog.tick(now, () => [...peers, ownState()]);
       fleet.tick();
     },
--- a/src/app/gateway/group-index.ts
+++ b/src/app/gateway/group-index.ts
@@ -1,4 +1,4 @@
-/** The open groups that servers report, with the figures of their service. */
+/** Index of the open groups that servers report, with the engine parameters of their service. */
 
 import { merge, Subject } from 'rxjs';
 import type { BehaviorSubject, Observable } from 'rxjs';
@@ -11,7 +11,7 @@
 import type { GatewayContext } from './context';
 import type { ServerRegistry } from './server-registry';
 
-/** An open group with the figures of its service. */
+/** An open group with the engine and model parameters of its service. */
 export interface ServingGroup extends OpenGroup {
   readonly service: ServiceId;
   readonly engine: EngineSpec;
@@ -19,15 +19,18 @@
 }
 
 export interface GroupIndex {
-  /** The open groups by their heads. */
+  /** Open groups by head. */
   groups(): ReadonlyMap<InstanceId, ServingGroup>;
-  /** After a change of servers or configuration. */
+  /** Emits after a change of the servers or the configuration. */
   readonly changes: Observable<void>;
 }
 
-function findGroups(roster: ServerRegistry, table: RouteTable): Map<InstanceId, ServingGroup> {
+function findGroups(
+  serverRegistry: ServerRegistry,
+  table: RouteTable,
+): Map<InstanceId, ServingGroup> {
   const found = new Map<InstanceId, ServingGroup>();
-  for (const group of findOpenGroups(roster.servers.values())) {
+  for (const group of findOpenGroups(serverRegistry.servers.values())) {
     const { service } = group.head;
     const engine = table.service(service)?.engine;
     const spec = engine?.models.find(({ name }) => name === group.model);
@@ -38,21 +41,24 @@
 
 export function createGroupIndex(
   { logger }: GatewayContext,
-  roster: ServerRegistry,
+  serverRegistry: ServerRegistry,
   routes: BehaviorSubject<RouteTable | undefined>,
 ): GroupIndex {
   const changes = new Subject<void>();
-  let known: ReadonlyMap<InstanceId, ServingGroup> = new Map();
-  /** Hundreds of servers change more often than anybody looks: groups are found anew when they are asked for. */
+  let indexed: ReadonlyMap<InstanceId, ServingGroup> = new Map();
+  /**
+   * With hundreds of servers, changes are more frequent than reads, so the index is rebuilt on the
+   * next read.
+   */
   let isStale = false;
 
   const logChanges = (next: ReadonlyMap<InstanceId, ServingGroup>): void => {
     for (const [head, { id, model }] of next) {
-      if (known.get(head)?.id !== id) {
+      if (indexed.get(head)?.id !== id) {
         logger.info('group serves', { step: 'board', group: id, model, head });
       }
     }
-    for (const [head, { id }] of known) {
+    for (const [head, { id }] of indexed) {
       if (next.get(head)?.id !== id) {
         logger.info('group serves no more', { step: 'board', group: id, head });
       }
@@ -62,13 +68,13 @@
   const rebuild = (): void => {
     isStale = false;
     if (!routes.value) return;
-    const next = findGroups(roster, routes.value);
+    const next = findGroups(serverRegistry, routes.value);
     logChanges(next);
-    known = next;
+    indexed = next;
   };
 
-  // Either may come first: without the configuration no group is known to belong to a service.
-  merge(roster.changes, routes).subscribe(() => {
+  // Either may arrive first: without a configuration, no group can be assigned to a service.
+  merge(serverRegistry.changes, routes).subscribe(() => {
     isStale = true;
     changes.next();
   });
@@ -76,7 +82,7 @@
   return {
     groups: () => {
       if (isStale) rebuild();
-      return known;
+      return indexed;
     },
     changes,
   };
--- a/src/app/gateway/http-server.ts
+++ b/src/app/gateway/http-server.ts
@@ -1,4 +1,7 @@
-/** The callers' side: reads requests, finds their route and organisation, and hands them on. */
+/**
+ * HTTP server for callers: reads requests, resolves their route and organisation, and dispatches
+ * them.
+ */
 
 import { createServer } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
@@ -24,7 +27,7 @@
   readonly dialect: Dialect;
   readonly plain: PlainCalls;
   readonly streams: StreamCalls;
-  /** Called for each request that a service is asked for. */
+  /** Called for each request that is routed to a service. */
   readonly onTraffic: () => void;
 }
 
@@ -32,14 +35,17 @@
   start(): Promise<void>;
   /** Requests that are being read or answered. */
   inFlight(): number;
-  /** From now on every answer ends its connection. */
+  /** From now on, every answer closes its connection. */
   beginStop(): void;
-  /** Takes no new connection. */
+  /** Stops accepting connections. */
   closeListener(): void;
   closeConnections(): void;
 }
 
-/** Callers may reuse a connection until shortly before the limit; it is kept a little longer than that. */
+/**
+ * Callers may reuse a connection until shortly before the limit, so the server keeps it a little
+ * longer.
+ */
 const IDLE_SLACK_MS = 1_000;
 const DEFAULT_IDLE_MS = 15_000;
 const DEFAULT_HEADER_BYTES = 64 * 1024;
@@ -48,10 +54,10 @@
 type Refusal = readonly [status: number, message: string, retryAfter?: RetryAfter];
 
 /**
- * A peer that the store answers tells what is missed here after a quarter of a second. Callers come back
- * spread over the time that follows, most of them to another daemon.
+ * A peer with access to the store sends what is missing here after a quarter of a second. Callers
+ * retry spread over the time after that, most of them at another daemon.
  */
-const WHEN_UNCONFIRMED: RetryAfter = { minMs: 300, spreadMs: 700 };
+const RETRY_AFTER_UNCONFIRMED: RetryAfter = { minMs: 300, spreadMs: 700 };
 
 export function createHttpServer(deps: HttpServerDeps): HttpServer {
   const { ctx, config } = deps;
@@ -64,13 +70,16 @@
     res.once('close', () => {
       inFlight -= 1;
     });
-    // The head of an answer that began before the stop offered to keep the connection. A caller that took
-    // the offer seconds later would be cut with the last requests.
+    // If the headers were sent before the stop began, they offered to keep the connection alive. A
+    // caller that used it seconds later would be disconnected together with the last requests.
     res.once('finish', () => {
       if (isStopping) req.socket.destroySoon();
     });
     serve(deps, req, res).catch((err: unknown) => {
-      ctx.logger.error('request ended by a fault', { step: 'request', reason: String(err) });
+      ctx.logger.error('request failed with an unexpected error', {
+        step: 'request',
+        reason: String(err),
+      });
       res.destroy();
     });
   };
@@ -122,11 +131,11 @@
 ): Promise<void> {
   const { ctx, config, dialect } = deps;
   const arrivedAt = ctx.clock.now();
-  const gone = watchCaller(res);
+  const callerSignal = watchCaller(res);
   const table = config.table.value;
   const facts = dialect.readCall(req.headers);
   if (!table) {
-    refuse(deps, facts, res, [503, 'no configuration is known yet']);
+    refuse(deps, facts, res, [503, 'no configuration received yet']);
     return;
   }
   const { maxBodyBytes } = table.config.limits;
@@ -135,21 +144,21 @@
     return;
   }
   const body = await readBody(req, maxBodyBytes);
-  if (body === 'broken' || gone.aborted) return;
+  if (body === 'broken' || callerSignal.aborted) return;
   if (body === 'too-long') {
     refuse(deps, facts, res, [413, 'the body is too long']);
     return;
   }
-  const exchange = toExchange({ deps, req, res, body, facts, arrivedAt, gone });
+  const exchange = toExchange({ deps, req, res, body, facts, arrivedAt, gone: callerSignal });
   if (!('route' in exchange)) {
     refuse(deps, facts, res, exchange);
     return;
   }
   deps.onTraffic();
-  await CALLS[exchange.route.kind](deps, exchange);
+  await CALL_HANDLERS[exchange.route.kind](deps, exchange);
 }
 
-const CALLS: Readonly<
+const CALL_HANDLERS: Readonly<
   Record<Route['kind'], (deps: HttpServerDeps, exchange: Exchange) => Promise<void>>
 > = {
   safe: ({ plain }, exchange) => plain.call(exchange),
@@ -157,7 +166,7 @@
   stream: ({ streams }, exchange) => streams.call(exchange),
 };
 
-interface Arrived {
+interface ArrivedRequest {
   readonly deps: HttpServerDeps;
   readonly req: IncomingMessage;
   readonly res: ServerResponse;
@@ -167,16 +176,24 @@
   readonly gone: AbortSignal;
 }
 
-/** Matches the request with the configuration that is in force once it has been read. */
-function toExchange({ deps, req, res, body, facts, arrivedAt, gone }: Arrived): Exchange | Refusal {
+/** Matches the request against the configuration in force once its body has been read. */
+function toExchange({
+  deps,
+  req,
+  res,
+  body,
+  facts,
+  arrivedAt,
+  gone: callerSignal,
+}: ArrivedRequest): Exchange | Refusal {
   const table = deps.config.table.value;
-  if (!table) return [503, 'no configuration is known yet'];
+  if (!table) return [503, 'no configuration received yet'];
   const route = findRoute(table, req);
   if (!route) return deny(deps, [404, 'no route']);
   const caller = identifyCaller(table, route, facts.apiKey);
   if (caller.kind === 'unknown-key') return deny(deps, [401, 'unknown API key']);
   const service = pickTarget(route, deps.ctx.random.next());
-  if (service === undefined) return [503, 'the route has no service'];
+  if (service === undefined) return [503, 'the route has no target service'];
   const organisation = caller.kind === 'known' ? caller.organisation : undefined;
   return {
     req,
@@ -189,14 +206,14 @@
     priority: priorityOf(route, organisation),
     arrivedAt,
     ...deadlinesOf(facts, route, arrivedAt),
-    gone,
+    gone: callerSignal,
   };
 }
 
-/** A denial is final, so it needs knowledge that cannot be out of date. */
+/** A denial is final, so it requires a configuration that is confirmed to be current. */
 function deny({ ctx, config }: HttpServerDeps, denial: Refusal): Refusal {
   if (mayDeny(config.ageMs(), ctx.tunables.value.configMs)) return denial;
-  return [503, `${denial[1]}, as far as is known without the store`, WHEN_UNCONFIRMED];
+  return [503, `${denial[1]} according to an unconfirmed configuration`, RETRY_AFTER_UNCONFIRMED];
 }
 
 function findRoute(table: RouteTable, req: IncomingMessage): Route | undefined {
@@ -225,11 +242,11 @@
   answerLocally(ctx, res, { status, message, ...(retryAfter && { retryAfter }) });
 }
 
-/** Aborts once the connection has closed before the answer was whole. */
+/** Aborts if the connection closes before the answer is complete. */
 function watchCaller(res: ServerResponse): AbortSignal {
   const controller = new AbortController();
   res.once('close', () => {
-    if (!res.writableFinished) controller.abort(new Error('caller gone'));
+    if (!res.writableFinished) controller.abort(new Error('caller disconnected'));
   });
   return controller.signal;
 }
--- a/src/app/gateway/lease.ts
+++ b/src/app/gateway/lease.ts
@@ -1,4 +1,4 @@
-/** Holds or seeks the one lease under which replica groups are formed. */
+/** Holds or acquires the lease that permits one daemon to form replica groups. */
 
 import { rankSuccessors, leaseReadDelayMs } from '../../core/gateway/succession';
 import { brandAs, later } from '../../core/ids';
@@ -21,39 +21,45 @@
 import type { PeerState } from './messages';
 
 /**
- * Without a leader no group is formed or replaced, so the lease is short. A lapse does no harm to
- * groups: their heads decide who serves. Two renewals may be lost before it lapses.
+ * Without a leader no group is formed or replaced, so the lease is short. Groups survive its
+ * expiry: their heads decide who serves. Two renewals may be lost before it expires.
  */
-const SETTINGS: Partial<LeaseSettings> = {
+const LEASE_SETTINGS: Partial<LeaseSettings> = {
   ttlMs: 2_000,
   marginMs: 200,
   renewMs: 600,
   rankDelayMs: 300,
-  // Handing over a working lease gains nothing.
+  // Handing over a working lease has no benefit.
   handoverMs: 86_400_000,
 };
-/** Candidates that hear nothing of a leader look at the row this often; twice within the life of a lease. */
-const READ_MS = 900;
-/** Rows of lost eras that one transaction removes. */
-const MOST_REMOVED = 50;
-/** Between two looks at who else may hold the lease. */
-const RANK_MS = 400;
+/**
+ * Candidates that hear from no leader read the lease row at this interval; twice in the lifetime of
+ * a lease.
+ */
+const READ_INTERVAL_MS = 900;
+/** Maximum number of rows of earlier eras that one transaction removes. */
+const MAX_REMOVED_ROWS = 50;
+/** Interval at which the rank among the candidates is updated. */
+const RANK_INTERVAL_MS = 400;
 const DOMAIN = brandAs<DomainId>(LEASE_NAME);
-/** Wall clock and monotonic clock may drift apart this far between two looks before a pause is assumed. */
+/**
+ * Drift between wall clock and monotonic clock, from one tick to the next, above which a pause is
+ * assumed.
+ */
 const CLOCK_SLACK_MS = 400;
 
 export interface Leadership {
   /**
-   * The row as held, for peers; undefined for others than the holder, and once the lease has run out: one
-   * that the store turns away must not speak for the fleet beside its successor.
+   * The row as held, for peers. Undefined unless this daemon holds the lease and the lease has not
+   * expired: a daemon that the store refuses must not act as leader beside its successor.
    */
   ownLease(): PeerState['lease'];
-  /** Takes the row as the leader gossips it. */
+  /** Notes the lease row that the leader sent to its peers. */
   notePeerLease(lease: NonNullable<PeerState['lease']>): void;
-  /** The fencing number, while this daemon may form groups. */
+  /** The fencing number, as long as this daemon may form groups. */
   heldFencing(): FencingNumber | undefined;
   tick(): void;
-  /** Hands the lease back. */
+  /** Releases the lease. */
   release(): void;
   isReleased(): boolean;
 }
@@ -62,17 +68,20 @@
   const { settings, clock, logger } = ctx;
   const session = `${settings.id} ${clock.epoch()} ${ctx.random.next()}`;
   let state: LeaseState = createLease(
-    { domain: DOMAIN, self: settings.id, session, settings: SETTINGS },
+    { domain: DOMAIN, self: settings.id, session, settings: LEASE_SETTINGS },
     clock.now(),
   );
-  /** Rows of lost eras that were seen in the table. */
-  let leftovers: readonly string[] = [];
-  let readAt = clock.now();
-  let rankAt = clock.now();
-  /** When a leader was last heard of; before the first, the start. */
-  let ledAt = clock.now();
-  let drift = clock.epoch() - clock.now();
-  /** No renewal sent before this instant counts: the process was paused, or a clock stepped. */
+  /** Rows of earlier eras found in the table. */
+  let staleRows: readonly string[] = [];
+  let nextReadAt = clock.now();
+  let nextRankAt = clock.now();
+  /** When a leader was last heard from; initially, the start of this daemon. */
+  let leaderHeardAt = clock.now();
+  let clockOffset = clock.epoch() - clock.now();
+  /**
+   * Renewals sent before this instant do not count: the process was paused, or a clock was
+   * adjusted.
+   */
   let pausedAt: MonoTime | undefined;
 
   const dispatch = (event: LeaseEvent): void => {
@@ -80,7 +89,7 @@
     const step = reduceLease(state, event, { now: clock.now() });
     state = step.state;
     logChange(before, state);
-    for (const effect of step.effects) run[effect.kind](effect as never);
+    for (const effect of step.effects) effectHandlers[effect.kind](effect as never);
   };
 
   const logChange = (before: LeaseState, after: LeaseState): void => {
@@ -95,7 +104,7 @@
   const read = async (): Promise<void> => {
     const result = await table.read(leasePrefix(DOMAIN));
     if (result.isErr()) {
-      logger.debug('lease not read', { step: 'lease', code: result.error.code });
+      logger.debug('failed to read the lease', { step: 'lease', code: result.error.code });
       dispatch({ kind: 'read-failed' });
       return;
     }
@@ -103,7 +112,7 @@
     const keys = leaseKeys(DOMAIN, era);
     const lease = rowOf(rows, keys.lease);
     const fence = rowOf(rows, keys.fence);
-    leftovers = rows.filter((row) => row !== lease && row !== fence).map(({ key }) => key);
+    staleRows = rows.filter((row) => row !== lease && row !== fence).map(({ key }) => key);
     dispatch({
       kind: 'read',
       era,
@@ -115,13 +124,13 @@
   const commit = async (effect: Extract<LeaseEffect, { kind: 'commit' }>): Promise<void> => {
     const { era, row, leaseVersion, fenceVersion } = effect;
     const keys = leaseKeys(DOMAIN, era);
-    const isTake = fenceVersion !== undefined;
+    const isTakeover = fenceVersion !== undefined;
     const conditions = [{ key: keys.lease, version: leaseVersion }];
     const writes: Write[] = [{ key: keys.lease, value: { ...row } }];
-    if (isTake) {
+    if (isTakeover) {
       conditions.push({ key: keys.fence, version: fenceVersion });
       writes.push({ key: keys.fence, value: { fencing: row.fencing } });
-      writes.push(...leftovers.slice(0, MOST_REMOVED).map((key) => ({ key })));
+      writes.push(...staleRows.slice(0, MAX_REMOVED_ROWS).map((key) => ({ key })));
     }
     const result = await table.commit({ conditions, writes });
     if (result.isOk()) {
@@ -131,38 +140,41 @@
       return;
     }
     const { code } = result.error;
-    logger.info('lease not written', { step: 'lease', code });
+    logger.info('failed to write the lease', { step: 'lease', code });
     if (code === 'store-unknown') dispatch({ kind: 'unsure' });
     else dispatch({ kind: 'refused', conflict: code === 'conflict' });
   };
 
-  const run: {
+  const effectHandlers: {
     readonly [K in LeaseEffect['kind']]: (effect: Extract<LeaseEffect, { kind: K }>) => void;
   } = {
     read: () => void read(),
     commit: (effect) => void commit(effect),
   };
 
-  /** A pause stops the monotonic clock in a suspended process, so both clocks are compared. */
-  const notePause = (): void => {
+  /** In a suspended process the monotonic clock stops as well, so both clocks are compared. */
+  const detectPause = (): void => {
     const now = clock.now();
-    const moved = clock.epoch() - now;
-    if (Math.abs(moved - drift) > CLOCK_SLACK_MS) {
+    const offset = clock.epoch() - now;
+    if (Math.abs(offset - clockOffset) > CLOCK_SLACK_MS) {
       pausedAt = now;
-      logger.warn('clocks disagree: the lease counts as lapsed until renewed', {
+      logger.warn('clocks disagree, treating the lease as expired until renewed', {
         step: 'lease',
-        driftMs: Math.round(moved - drift),
+        driftMs: Math.round(offset - clockOffset),
       });
     }
-    drift = moved;
+    clockOffset = offset;
   };
 
-  /** Place among the daemons that may hold the lease; the peers of a fleet change seldom. */
-  const rank = (now: MonoTime): void => {
-    if (now < rankAt) return;
-    rankAt = later(now, RANK_MS);
-    const place = rankSuccessors(LEASE_NAME, fleet.candidates()).indexOf(settings.id);
-    dispatch({ kind: 'ranked', rank: place });
+  /**
+   * Updates this daemon's rank among the candidates for the lease; membership of the fleet changes
+   * seldom.
+   */
+  const updateRank = (now: MonoTime): void => {
+    if (now < nextRankAt) return;
+    nextRankAt = later(now, RANK_INTERVAL_MS);
+    const rank = rankSuccessors(LEASE_NAME, fleet.candidates()).indexOf(settings.id);
+    dispatch({ kind: 'ranked', rank });
   };
 
   ctx.store.eras.subscribe(({ era }) => {
@@ -170,13 +182,14 @@
   });
 
   const tick = (): void => {
-    notePause();
+    detectPause();
     const now = clock.now();
-    rank(now);
+    updateRank(now);
     dispatch({ kind: 'tick' });
-    if (state.held || now < readAt || state.reading || ctx.store.isAway()) return;
-    if (now < later(ledAt, leaseReadDelayMs(state.rank, state.settings.rankDelayMs))) return;
-    readAt = later(now, READ_MS * (0.8 + 0.4 * ctx.random.next()));
+    if (state.held || now < nextReadAt || state.reading || ctx.store.isAway()) return;
+    if (now < later(leaderHeardAt, leaseReadDelayMs(state.rank, state.settings.rankDelayMs)))
+      return;
+    nextReadAt = later(now, READ_INTERVAL_MS * (0.8 + 0.4 * ctx.random.next()));
     state = { ...state, reading: true };
     void read();
   };
@@ -190,8 +203,8 @@
       return { era, version: seen.version, row: seen.row, fenceVersion: held.fenceVersion };
     },
     notePeerLease: ({ era, version, row, fenceVersion }) => {
-      ledAt = clock.now();
-      readAt = later(ledAt, READ_MS);
+      leaderHeardAt = clock.now();
+      nextReadAt = later(leaderHeardAt, READ_INTERVAL_MS);
       const isSuccessor = state.held !== undefined && row.fencing > state.held.fencing;
       if ((state.held && !isSuccessor) || state.pending) return;
       const fence = { version: fenceVersion, row: { fencing: row.fencing } };
--- a/src/app/gateway/leaving-servers.ts
+++ b/src/app/gateway/leaving-servers.ts
@@ -1,6 +1,6 @@
 /**
- * Servers that say in their answers that they leave: known to this daemon before the platform's list shows it, and told
- * to peers, which may not ask them before it does.
+ * Servers that announce in their answers that they are leaving. This daemon knows of it before the
+ * platform's list shows it, and informs its peers, which may not contact these servers before then.
  */
 
 import { later } from '../../core/ids';
@@ -9,48 +9,49 @@
 import type { ServerRegistry } from './server-registry';
 
 export interface LeavingServers {
-  /** The server said so in an answer to this daemon. */
+  /** Notes that the server announced it in an answer to this daemon. */
   note(server: InstanceId): void;
-  /** A peer says that it did. */
+  /** Applies a peer's report. */
   applyReport(servers: readonly InstanceId[], source: string): void;
-  /** Servers that said so to this daemon of late; `ofAll`: to any. */
+  /** Servers that recently announced it to this daemon, or with `ofAll` to any daemon. */
   report(options?: { readonly ofAll?: boolean }): InstanceId[];
 }
 
-/** Peers are told for so long: several times each, whatever becomes of one message. */
-const TELL_MS = 2_000;
+/** How long peers are informed: several messages to each, so that a lost one does not matter. */
+const REPORT_MS = 2_000;
 
-interface Heard {
+interface Announcement {
   readonly at: MonoTime;
   readonly isOwn: boolean;
 }
 
 export function createLeavingServers(
   { clock, logger }: GatewayContext,
-  roster: ServerRegistry,
+  serverRegistry: ServerRegistry,
 ): LeavingServers {
-  const heard = new Map<InstanceId, Heard>();
+  const announcements = new Map<InstanceId, Announcement>();
 
-  const forgetOld = (now: MonoTime): void => {
-    for (const [server, { at }] of heard) if (now >= later(at, TELL_MS)) heard.delete(server);
+  const pruneOld = (now: MonoTime): void => {
+    for (const [server, { at }] of announcements)
+      if (now >= later(at, REPORT_MS)) announcements.delete(server);
   };
 
-  const take = (server: InstanceId, isOwn: boolean, source: string): void => {
-    if (!roster.noteLeaving(server)) return;
-    heard.set(server, { at: clock.now(), isOwn });
+  const add = (server: InstanceId, isOwn: boolean, source: string): void => {
+    if (!serverRegistry.noteLeaving(server)) return;
+    announcements.set(server, { at: clock.now(), isOwn });
     logger.info('server leaves', { step: 'leaving', server, source });
   };
 
   return {
     note: (server) => {
-      take(server, true, 'answer');
+      add(server, true, 'answer');
     },
     applyReport: (servers, source) => {
-      for (const server of servers) take(server, false, source);
+      for (const server of servers) add(server, false, source);
     },
     report: ({ ofAll = false } = {}) => {
-      forgetOld(clock.now());
-      return [...heard].flatMap(([server, { isOwn }]) => (isOwn || ofAll ? [server] : []));
+      pruneOld(clock.now());
+      return [...announcements].flatMap(([server, { isOwn }]) => (isOwn || ofAll ? [server] : []));
     },
   };
 }
--- a/src/app/gateway/loads.ts
+++ b/src/app/gateway/loads.ts
@@ -1,6 +1,7 @@
 /**
- * What all daemons have running and waiting. A few daemons tell each other directly. In a large fleet
- * each tells the leader, which spreads the sum: messages then grow with the daemons, not their square.
+ * Sums of the running and waiting requests of all daemons. In a small fleet daemons exchange loads
+ * directly. In a large one each sends its load to the leader, which publishes the sum: the number
+ * of messages then grows linearly with the daemons, not quadratically.
  */
 
 import type { InstanceId } from '../../core/ids';
@@ -8,27 +9,27 @@
 
 export type LoadSums = Pick<LoadsMessage, 'running' | 'paces' | 'waiting'>;
 
-/** Below this a group counts as being at its usual pace. */
-const SLOW_AT = 1.2;
-const PACE_DIGITS = 1;
+/** Below this factor a group counts as running at its normal speed. */
+const SLOW_THRESHOLD = 1.2;
+const SLOWDOWN_DIGITS = 1;
 
 /**
- * Mean pace of each slow group. In a large fleet a daemon has a stream in a given group now and then;
- * only together do they see within a second that one has turned slow.
+ * Mean slowdown of each slow group. In a large fleet a daemon has a stream in a given group only
+ * now and then; all daemons together detect within a second that a group has become slow.
  */
-function meanPaces(states: readonly Pick<PeerState, 'paces'>[]): LoadSums['paces'] {
+function meanSlowdowns(states: readonly Pick<PeerState, 'paces'>[]): LoadSums['paces'] {
   const seen = new Map<InstanceId, readonly [count: number, sum: number]>();
   for (const [head, slowdown] of states.flatMap(({ paces }) => paces)) {
     const [count, sum] = seen.get(head) ?? [0, 0];
     seen.set(head, [count + 1, sum + slowdown]);
   }
   return [...seen].flatMap(([head, [count, sum]]) => {
-    const mean = Number((sum / count).toFixed(PACE_DIGITS));
-    return mean < SLOW_AT ? [] : [[head, mean] as [InstanceId, number]];
+    const mean = Number((sum / count).toFixed(SLOWDOWN_DIGITS));
+    return mean < SLOW_THRESHOLD ? [] : [[head, mean] as [InstanceId, number]];
   });
 }
 
-/** Sums of several daemons' statements. */
+/** Sums the states of several daemons. */
 export function sumLoads(
   states: readonly Pick<PeerState, 'running' | 'paces' | 'waiting'>[],
 ): LoadSums {
@@ -46,12 +47,14 @@
   }
   return {
     running: [...running].map(([head, [count, tokens]]) => [head, count, tokens]),
-    paces: meanPaces(states),
+    paces: meanSlowdowns(states),
     waiting: [...waiting].map(([model, sums]) => [model, ...sums]),
   };
 }
 
-/** A sum without one daemon's own part, as far as that part is the one that was summed. */
+/**
+ * Subtracts one daemon's own part from a sum, exactly if that part is the state that was summed.
+ */
 export function withoutOwn(sums: LoadSums, own: Pick<PeerState, 'running' | 'waiting'>): LoadSums {
   const ownRunning = new Map(own.running.map(([head, ...rest]) => [head, rest] as const));
   const ownWaiting = new Map(own.waiting.map(([model, ...rest]) => [model, rest] as const));
--- a/src/app/gateway/messages.ts
+++ b/src/app/gateway/messages.ts
@@ -1,4 +1,4 @@
-/** What gateway daemons tell each other, checked on arrival. */
+/** Messages between gateway daemons and their validation on receipt. */
 
 import * as z from 'zod';
 
@@ -14,31 +14,36 @@
 const eraSchema = z.number().transform((value, ctx) => {
   const era = toStoreEra(value);
   if (era !== undefined) return era;
-  ctx.addIssue({ code: 'custom', message: 'no era of a store' });
+  ctx.addIssue({ code: 'custom', message: 'not a valid store era' });
   return z.NEVER;
 });
 const positionSchema = z.object({ era: eraSchema, revision: natural });
 
-/** How far a daemon is, so that others can tell whether it lacks anything. */
+/** How current a daemon's knowledge is, so that others can tell what it is missing. */
 const progressSchema = {
   /** Version of the configuration in force; 0 for none. */
   configVersion: natural,
-  /** Point in the store's history at which the servers last changed, as far as is known there. */
+  /**
+   * Position in the store's history at which the servers last changed, as far as the sender knows.
+   */
   serversAt: positionSchema,
-  /** The newest era of the store that is known there. */
+  /** The newest era of the store that the sender knows. */
   storeEra: eraSchema,
-  /** The store cannot be reached from there. */
+  /** The sender cannot reach the store. */
   isStoreLost: z.boolean(),
-  /** Time since the store last answered there about the servers, milliseconds. */
+  /** Time since the store last answered the sender's poll for servers, milliseconds. */
   storeAgeMs: natural,
-  /** Time since the store last answered there about the configuration, milliseconds; absent where it is not told. */
+  /**
+   * Time since the store last answered the sender's poll for the configuration, milliseconds;
+   * optional.
+   */
   configAgeMs: natural.optional(),
   hasTraffic: z.boolean(),
 };
 
-/** The lease row of a leader, so that others need not read it. */
+/** The lease row of a leader, so that other daemons need not read it. */
 const leaseSchema = z.object({
-  /** Of the store: versions of other eras say nothing of it. */
+  /** Era of the store: versions of different eras cannot be compared. */
   era: eraSchema,
   version: natural,
   row: z.object({
@@ -54,12 +59,13 @@
 /** By head of a group: requests in flight, and the prompt tokens of those without an event. */
 const runningSchema = z.array(z.tuple([instanceIdSchema, natural, natural]));
 
-/** By head of a group: how many times slower than usual its events came of late. */
-const pacesSchema = z.array(z.tuple([instanceIdSchema, z.number().min(1)]));
+/** By head of a group: recent slowdown factor of its events. */
+const slowdownsSchema = z.array(z.tuple([instanceIdSchema, z.number().min(1)]));
 
 /**
- * By server: requests a second that it takes from all daemons, null once it named none any more; time since the request
- * was sent whose answer said so, and since that was read, milliseconds.
+ * By server: requests a second that it accepts from all daemons together, or null once it named no
+ * limit any more; time since the request was sent whose answer named it, and since that answer was
+ * read, milliseconds.
  */
 const limitsSchema = z
   .array(z.tuple([instanceIdSchema, natural.nullable(), natural, natural]))
@@ -72,55 +78,61 @@
   zone: z.string().transform((zone) => brandAs<ZoneId>(zone)),
   /** Processor cores that the daemon may use. */
   cores: natural,
-  /** Whether this daemon hears a leader, or leads. */
+  /** Whether this daemon hears from a leader or is the leader. */
   hearsLeader: z.boolean(),
   lease: leaseSchema.optional(),
   running: runningSchema,
-  /** By head of a group with requests in flight here: time since any of them gave an event, milliseconds. */
+  /**
+   * By head of a group with requests in flight here: time since the last event of any of them,
+   * milliseconds.
+   */
   quiet: z.array(z.tuple([instanceIdSchema, natural])),
-  paces: pacesSchema,
-  /** By model: requests that wait here for a group, and how many come here in a second. */
+  paces: slowdownsSchema,
+  /** By model: requests that wait at this daemon for a group, and arrivals a second. */
   waiting: z.array(z.tuple([z.string(), natural, natural])),
-  /** As servers said to this daemon. */
+  /** As servers named them to this daemon. */
   limits: limitsSchema,
-  /** Servers that said of late that they leave. */
+  /** Servers that recently announced that they are leaving. */
   leaving: z.array(instanceIdSchema).default([]),
 });
 
-/** What the leader of a large fleet tells all, in place of what each would tell each. */
+/** What the leader of a large fleet publishes, in place of an exchange between all daemons. */
 const loadsSchema = z.object({
   kind: z.literal('loads'),
   ...progressSchema,
   lease: leaseSchema,
-  /** Daemons that the leader hears of, itself included. */
+  /** Daemons that the leader hears from, itself included. */
   daemons: natural,
   running: runningSchema,
-  /** Means over the daemons that saw the groups; those at their usual pace are left out. */
-  paces: pacesSchema,
-  /** By model: daemons with requests that wait for it, how many wait, and how many come in a second. */
+  /** Means over the daemons that measured the groups; groups at normal speed are left out. */
+  paces: slowdownsSchema,
+  /**
+   * By model: daemons with waiting requests for it, number of waiting requests, and arrivals a
+   * second.
+   */
   waiting: z.array(z.tuple([z.string(), natural, natural, natural])),
-  /** As servers said to any daemon. */
+  /** As servers named them to any daemon. */
   limits: limitsSchema,
   leaving: z.array(instanceIdSchema).default([]),
-  /** Daemons that are entered and give no sign. */
+  /** Registered daemons that do not respond. */
   silent: z.array(daemonIdSchema).default([]),
 });
 
 /**
- * What is believed of a group that gives no sign: one daemon saw its streams fall silent, or could not
- * reach it; enough daemons saw it; or its members were asked, and some are lost.
+ * State of a suspected group: one daemon saw its streams fall silent, or could not reach it; enough
+ * daemons reported it; or its members were inspected and some are lost.
  */
-const findings = z.enum(['seen', 'unreachable', 'confirmed', 'lost']);
+const findingSchema = z.enum(['seen', 'unreachable', 'confirmed', 'lost']);
 
-/** A group that seems to stand still. */
+/** A group that seems to be stalled. */
 const stalledSchema = z.object({
   kind: z.literal('stalled'),
   group: z.string().transform((id) => brandAs<GroupId>(id)),
   head: instanceIdSchema,
-  finding: findings,
+  finding: findingSchema,
 });
 
-/** Sent on in the form in which this program holds them: all daemons run the same program. */
+/** Sent in this program's internal representation: all daemons run the same program. */
 const configSchema = z.object({
   kind: z.literal('config'),
   config: z.custom<GatewayConfig>((value) => typeof value === 'object' && value !== null),
@@ -132,7 +144,7 @@
   servers: z.array(z.custom<BackendServer>((value) => typeof value === 'object' && value !== null)),
 });
 
-/** Changes of the servers from one point of an era of the store to a later one. */
+/** Changes of the servers between two positions of one era of the store. */
 const newsSchema = z.object({
   kind: z.literal('news'),
   since: positionSchema,
@@ -145,10 +157,10 @@
   ),
 });
 
-/** What a server said, for those that send to it. */
+/** Rate limits that servers named, for the daemons that send to these servers. */
 const limitsMessageSchema = z.object({ kind: z.literal('limits'), limits: limitsSchema });
 
-/** What a leader says to all; `to` are addresses that the receiver passes it on to. */
+/** A message of the leader; `to` are the addresses that the receiver forwards it to. */
 const relayedSchema = z.object({
   kind: z.literal('relayed'),
   to: z.array(z.string()),
@@ -156,7 +168,7 @@
   message: z.discriminatedUnion('kind', [loadsSchema, newsSchema, stalledSchema]),
 });
 
-/** Statements of several daemons, as a relay collected them for the leader. */
+/** States of several daemons, collected by a relay for the leader. */
 const statesSchema = z.object({
   kind: z.literal('states'),
   states: z.array(z.object({ id: daemonIdSchema, address: z.string(), state: stateSchema })),
@@ -180,16 +192,16 @@
 >;
 export type LoadsMessage = z.output<typeof loadsSchema>;
 export type PeerState = z.output<typeof stateSchema>;
-export type StallFinding = z.output<typeof findings>;
+export type StallFinding = z.output<typeof findingSchema>;
 export type GatewayMessage = z.output<typeof messageSchema>;
 type Relayed = z.output<typeof relayedSchema>;
-/** What the leader of a large fleet says to all. */
+/** Messages that the leader of a large fleet sends to all daemons. */
 export type LeaderMessage = Relayed['message'];
-/** One statement of one daemon, however it came here. */
+/** A message of one daemon, whether it came directly or through a relay. */
 export type PlainMessage = Exclude<GatewayMessage, { readonly kind: 'relayed' | 'states' }>;
 export type StateEntry = z.output<typeof statesSchema>['states'][number];
 
-/** The message in a frame; undefined if no daemon sends such a one. */
+/** Parses the message of a frame; undefined if it is invalid. */
 export function parseGatewayMessage(frame: unknown): GatewayMessage | undefined {
   return messageSchema.safeParse(frame).data;
 }
--- a/src/app/gateway/peer-loads.ts
+++ b/src/app/gateway/peer-loads.ts
@@ -1,4 +1,7 @@
-/** What the other daemons together have running and waiting, and the paces that all saw, as last told. */
+/**
+ * The latest known running and waiting requests of the other daemons, and the slowdowns measured by
+ * all.
+ */
 
 import type { OfferedLoad } from '../../core/gateway/capacity';
 import { later } from '../../core/ids';
@@ -6,62 +9,63 @@
 import type { GatewayContext } from './context';
 import type { LoadSums } from './loads';
 
-/** Whose loads were summed. */
+/** Which daemons' loads were summed. */
 export interface LoadSource {
-  /** Of most daemons that may be at work. */
+  /** A majority of the daemons that may be running. */
   readonly coversMost: boolean;
-  /** Of the few that this daemon hears in a large fleet without a leader. */
+  /** Only the few that this daemon hears from, in a large fleet without a leader. */
   readonly isLeaderless: boolean;
 }
 
 export interface PeerLoads {
-  /** False where the sums are passed over, since others that were heard before are nearer to the truth. */
+  /** Returns false if the sums are ignored because earlier ones are the better estimate. */
   apply(sums: LoadSums, facts: LoadSource): boolean;
-  /** Whether the loads of the others are known, and young. */
+  /** Whether the loads of the other daemons are known and fresh. */
   areFresh(): boolean;
-  /** Requests of the others in a group, and the prompt tokens of those without an event. */
+  /** Requests of the other daemons in a group, and the prompt tokens of those without an event. */
   running(head: InstanceId): number;
   pendingPrefill(head: InstanceId): number;
-  /** How many times slower than usual a group is, as all saw it. */
+  /** Slowdown factor of a group, as measured by all daemons. */
   pace(head: InstanceId): number;
-  /** Requests of the others that wait for a model, and those that come to them. */
+  /** Requests of the other daemons that wait for a model, and their arrival rate. */
   offeredLoad(model: ModelId): OfferedLoad;
 }
 
-/** The sum of all loads holds for so long: leaders tell it several times in that time. */
+/** How long a sum of all loads is fresh; leaders send several in that time. */
 const FRESH_MS = 1_500;
 /**
- * Where no later sum is heard, as while the store is away and nobody can hold the lease, this one stays nearer to
- * the truth than the loads of a few peers: callers keep to their daemons, and the others go on as before.
+ * If no later sum arrives, for example while the store is down and nobody can hold the lease, the
+ * old sum remains a better estimate than the loads of a few peers: callers stay with their daemons,
+ * and the other daemons go on as before.
  */
 const KEPT_MS = 15_000;
 
-const NOTHING_ASKED: OfferedLoad = { waiting: 0, perSecond: 0 };
+const NO_LOAD: OfferedLoad = { waiting: 0, perSecond: 0 };
 
 export function createPeerLoads({ clock }: GatewayContext): PeerLoads {
   let running: ReadonlyMap<InstanceId, readonly [count: number, unread: number]> = new Map();
-  let paces: ReadonlyMap<InstanceId, number> = new Map();
+  let slowdowns: ReadonlyMap<InstanceId, number> = new Map();
   let waiting: ReadonlyMap<string, OfferedLoad> = new Map();
-  let knownUntil = clock.now();
+  let freshUntil = clock.now();
   let keptUntil = clock.now();
 
   return {
-    apply: (sums, { coversMost: isWhole, isLeaderless: isUnled }) => {
+    apply: (sums, { coversMost, isLeaderless }) => {
       const now = clock.now();
-      if (isUnled && now < keptUntil) return false;
-      if (!isUnled) keptUntil = later(now, KEPT_MS);
-      if (isWhole) knownUntil = later(now, FRESH_MS);
+      if (isLeaderless && now < keptUntil) return false;
+      if (!isLeaderless) keptUntil = later(now, KEPT_MS);
+      if (coversMost) freshUntil = later(now, FRESH_MS);
       running = new Map(sums.running.map(([head, ...load]) => [head, load]));
-      paces = new Map(sums.paces);
+      slowdowns = new Map(sums.paces);
       waiting = new Map(
         sums.waiting.map(([model, , count, perSecond]) => [model, { waiting: count, perSecond }]),
       );
       return true;
     },
-    areFresh: () => clock.now() < knownUntil,
+    areFresh: () => clock.now() < freshUntil,
     running: (head) => running.get(head)?.[0] ?? 0,
     pendingPrefill: (head) => running.get(head)?.[1] ?? 0,
-    pace: (head) => paces.get(head) ?? 1,
-    offeredLoad: (model) => waiting.get(model) ?? NOTHING_ASKED,
+    pace: (head) => slowdowns.get(head) ?? 1,
+    offeredLoad: (model) => waiting.get(model) ?? NO_LOAD,
   };
 }
--- a/src/app/gateway/peer-view.ts
+++ b/src/app/gateway/peer-view.ts
@@ -1,4 +1,4 @@
-/** Other daemons as this one hears of them. */
+/** This daemon's view of the other daemons. */
 
 import type { DaemonId, MonoTime } from '../../core/ids';
 import type { PeerState, PlainMessage, PeerProgress } from './messages';
@@ -7,7 +7,7 @@
 export interface ReceivedMessage {
   readonly from: DaemonId;
   readonly address: string;
-  /** Address of the daemon that passed it on; the sender's own where it came directly. */
+  /** Address of the daemon that forwarded it; the sender's own if it came directly. */
   readonly via: string;
   readonly message: PlainMessage;
 }
@@ -18,17 +18,17 @@
   readonly at: MonoTime;
 }
 
-/** The daemon that holds the lease, as it last said. */
+/** The daemon that holds the lease, as of its last message. */
 export interface Leader {
   readonly id: DaemonId;
   readonly address: string;
-  /** Address of the daemon through which it was last heard. */
+  /** Address of the daemon that delivered its last message. */
   readonly via: string;
-  /** When it last said so. */
+  /** When the last message arrived. */
   readonly at: MonoTime;
   readonly progress: PeerProgress;
-  /** Daemons that it hears of, where it told. */
+  /** Daemons that it hears from, if it reported that. */
   readonly daemons?: number;
-  /** Daemons of which it hears nothing, where it told. */
+  /** Daemons that do not respond to it, if it reported that. */
   readonly silent?: readonly DaemonId[];
 }
--- a/src/app/gateway/ready.ts
+++ b/src/app/gateway/ready.ts
@@ -1,4 +1,4 @@
-/** Readiness for the balancer, and metrics, on one small listener. */
+/** HTTP listener for the load balancer's readiness probe and for metrics. */
 
 import { createServer } from 'node:http';
 import type { Server } from 'node:http';
@@ -8,7 +8,7 @@
 import type { GatewayContext } from './context';
 
 export interface ReadyOptions {
-  /** Path that the balancer asks. */
+  /** Path of the readiness probe. */
   readonly path: string;
   readonly isReady: () => boolean;
 }
--- a/src/app/gateway/relaying.ts
+++ b/src/app/gateway/relaying.ts
@@ -1,6 +1,7 @@
 /**
- * Messages between the leader of a large fleet and the others, by way of relays: what the leader says is
- * passed on to the peers named with it, and what these answer is collected for the leader.
+ * Messages between the leader of a large fleet and the other daemons through relays: a relay
+ * forwards the leader's messages to the peers listed in them, and collects their states for the
+ * leader.
  */
 
 import { planFanOut } from '../../core/gateway/relays';
@@ -12,27 +13,30 @@
 import type { ReceivedMessage, Leader, PeerView } from './peer-view';
 import type { GatewayMessage, LeaderMessage, PeerState, StateEntry } from './messages';
 
-/** Links to peers, as far as relaying needs them. */
+/** Operations on peer links that relaying needs. */
 export interface RelayLinks {
-  /** Sends to peers that answer, over new links where they have fallen silent. */
+  /** Sends a message that peers reply to, reconnecting to those that have become unresponsive. */
   sendExpectingReply(addresses: Iterable<string>, message: GatewayMessage): void;
   sendToAll(addresses: Iterable<string>, message: GatewayMessage): void;
 }
 
 export interface Relaying {
-  /** Says to all peers what the leader, which is this daemon, has to say. */
+  /** Sends a message of the leader, which is this daemon, to all peers. */
   broadcast(message: LeaderMessage, live: readonly PeerView[], others: Iterable<string>): void;
-  /** Passes a leader's message on, and gives it as if it had come from there. */
+  /** Forwards a leader's message, and returns it as if it had come from the leader directly. */
   forward(message: Extract<GatewayMessage, { kind: 'relayed' }>, via: string): ReceivedMessage;
-  /** Keeps a peer's statement for the leader that this daemon follows. */
+  /** Stores a peer's state for the leader that this daemon follows. */
   collect(from: DaemonId, address: string, state: PeerState): void;
-  /** Sends what was collected. */
+  /** Sends the collected states. */
   flush(leader: Leader | undefined): void;
 }
 
-/** Peers are divided among relays anew after this, milliseconds; a lost relay is missed no longer. */
-const PLAN_MS = 200;
-/** What peers say waits for so long to be sent on together, milliseconds. */
+/**
+ * Interval at which peers are assigned to relays again, milliseconds; also the longest time without
+ * a replacement for a lost relay.
+ */
+const PLAN_INTERVAL_MS = 200;
+/** Peers' states are batched for this long before they are forwarded, milliseconds. */
 const COLLECT_MS = 100;
 
 export function createRelaying(ctx: GatewayContext, links: RelayLinks): Relaying {
@@ -41,28 +45,28 @@
   let plan: FanOut = new Map();
   let planDueAt = clock.now();
   /** Relays of the last plan, as logged. */
-  let known = '';
+  let loggedRelays = '';
   let flushDueAt = clock.now();
   const collected = new Map<DaemonId, StateEntry>();
 
-  const renew = (live: readonly PeerView[], now: MonoTime): void => {
+  const updatePlan = (live: readonly PeerView[], now: MonoTime): void => {
     if (now < planDueAt) return;
-    planDueAt = later(now, PLAN_MS);
+    planDueAt = later(now, PLAN_INTERVAL_MS);
     plan = planFanOut(live, now);
     logRelays([...plan].flatMap(([relay, to]) => (to.length > 0 ? [relay] : [])));
   };
 
   const logRelays = (relays: readonly string[]): void => {
     const names = [...relays].sort(compareText).join(' ');
-    if (names === known) return;
-    known = names;
+    if (names === loggedRelays) return;
+    loggedRelays = names;
     const direct = plan.size - relays.length;
     ctx.logger.info('relays chosen', { step: 'relay', relays: names, direct });
   };
 
   return {
     broadcast: (message, live, others) => {
-      renew(live, clock.now());
+      updatePlan(live, clock.now());
       const direct: string[] = [];
       const covered = new Set<string>();
       for (const [relay, to] of plan) {
@@ -74,9 +78,9 @@
       for (const address of others) if (!covered.has(address)) direct.push(address);
       links.sendExpectingReply(direct, message);
     },
-    forward: ({ to, origin: first, message }, via) => {
-      links.sendExpectingReply(to, { kind: 'relayed', to: [], origin: first, message });
-      return { from: first.id, address: first.address, via, message };
+    forward: ({ to, origin: source, message }, via) => {
+      links.sendExpectingReply(to, { kind: 'relayed', to: [], origin: source, message });
+      return { from: source.id, address: source.address, via, message };
     },
     collect: (id, address, state) => {
       collected.set(id, { id, address, state });
--- a/src/app/gateway/retries.ts
+++ b/src/app/gateway/retries.ts
@@ -1,4 +1,4 @@
-/** This daemon's part of the retries that the whole fleet may make. */
+/** This daemon's share of the fleet's retry budget. */
 
 import { createFleetBudget, noteFirstSend, takeRetry } from '../../core/gateway/retry-budget';
 import type { FleetAllowance, FleetBudget } from '../../core/gateway/retry-budget';
@@ -6,16 +6,18 @@
 import type { GatewayContext } from './context';
 
 export interface Retries {
-  /** A request is sent to the service for the first time. */
+  /** Notes a request that is sent to the service for the first time. */
   noteRequest(service: ServiceId): void;
-  /** Whether one further send may be made; counts it if so. */
+  /** Takes a retry from the budget; false if there is none. */
   mayRetry(service: ServiceId): boolean;
 }
 
-/** Part of the allowance that is used: daemons come and go, and do not see each other's retries. */
+/**
+ * Fraction of the budget that is used: daemons start and stop, and do not see each other's retries.
+ */
 const USED_SHARE = 0.75;
-/** Part of the ratio that may be saved up from the requests of the last window. */
-const CARRIED_SHARE = 0.2;
+/** Fraction of the ratio that may accumulate from the requests of the last window. */
+const BURST_SHARE = 0.2;
 
 export function createRetries(ctx: GatewayContext, daemons: () => number): Retries {
   const budgets = new Map<ServiceId, FleetBudget>();
@@ -25,7 +27,7 @@
     const { retryRatio, retrySlack, retryWindowMs } = ctx.tunables.value;
     return {
       ratio: retryRatio * USED_SHARE,
-      burstRatio: retryRatio * CARRIED_SHARE,
+      burstRatio: retryRatio * BURST_SHARE,
       slack: retrySlack * USED_SHARE,
       windowMs: retryWindowMs,
       daemons: daemons(),
@@ -40,10 +42,10 @@
       budgets.set(service, noteFirstSend(budgetOf(service), allowance(), ctx.clock.now()));
     },
     mayRetry: (service) => {
-      const taken = takeRetry(budgetOf(service), allowance(), ctx.clock.now());
-      if (taken) budgets.set(service, taken);
+      const updated = takeRetry(budgetOf(service), allowance(), ctx.clock.now());
+      if (updated) budgets.set(service, updated);
       else ctx.logger.warn('retry budget spent', { step: 'retry', service });
-      return taken !== undefined;
+      return updated !== undefined;
     },
   };
 }
--- a/src/app/gateway/route-times.ts
+++ b/src/app/gateway/route-times.ts
@@ -1,4 +1,4 @@
-/** How long requests of each route took of late: to their first event, and with a place in all. */
+/** Recent times of the requests of each route: until the first event, and holding a slot. */
 
 import { noteFirstEvent, slackMs } from '../../core/gateway/first-event';
 import type { FirstEventStats } from '../../core/gateway/first-event';
@@ -6,13 +6,13 @@
 import { smoothHoldMs } from '../../core/gateway/waiting-order';
 
 export interface RouteTimes {
-  /** A group took so long from the arrival of a request to its first event, milliseconds. */
+  /** Notes the time from the arrival of a request at a group to its first event, milliseconds. */
   noteFirstEvent(route: Route, ms: number): void;
-  /** A request that was served held its place for so long, milliseconds. */
+  /** Notes how long a served request held its slot, milliseconds. */
   noteHold(route: Route, ms: number): void;
-  /** Mean time that requests hold a place; 0 before any was served. */
+  /** Mean time that requests hold a slot; 0 before any was served. */
   holdMs(route: Route): number;
-  /** Time that a request may wait for a place and still be on time, milliseconds. */
+  /** Time that a request may wait for a slot and still be on time, milliseconds. */
   slackMs(route: Route): number;
 }
 
--- a/src/app/gateway/server-notices.ts
+++ b/src/app/gateway/server-notices.ts
@@ -1,4 +1,7 @@
-/** What backend servers say of themselves in the heads of their answers: read once, and told to whom it concerns. */
+/**
+ * Processes what backend servers announce in their response headers: rate limits, backoff and
+ * leaving.
+ */
 
 import type { IncomingMessage } from 'node:http';
 
@@ -10,13 +13,16 @@
 import type { RateLimits } from './rate-limits';
 
 export interface ServerNotices {
-  /** Reads the head of an answer of the server; `sentAt`: when its request was sent. */
+  /** Reads the response headers of a server; `sentAt`: when the request was sent. */
   read(
     server: InstanceId,
     res: Pick<IncomingMessage, 'statusCode' | 'headers'>,
     sentAt: MonoTime,
   ): AnswerFacts;
-  /** Takes what an answer to an order or a question says; that it names no limit there ends none. */
+  /**
+   * Applies the headers of an answer to an order or a report request. Such an answer without a
+   * limit does not end a limit.
+   */
   apply(head: ServerHead): void;
 }
 
@@ -29,34 +35,34 @@
 
 export function createServerNotices(
   { clock, logger }: GatewayContext,
-  { dialect, limits, throttle: allowances, leaving }: ServerNoticesOptions,
+  { dialect, limits: rateLimits, throttle, leaving: leavingServers }: ServerNoticesOptions,
 ): ServerNotices {
-  const take = ({ server, facts }: ServerHead, sentAt?: MonoTime): void => {
+  const apply = ({ server, facts }: ServerHead, sentAt?: MonoTime): void => {
     for (const { about, header } of facts.unreadable) {
       const fields = { step: 'statement', server, about, header };
       logger.warn('header of a server not understood', fields);
     }
     if (facts.isOfOther) return;
-    // A limit that can't be understood is no sign that there is none.
-    const isUnclear = facts.unreadable.some(({ about }) => about === 'limit');
+    // An unreadable limit does not mean that there is none.
+    const isLimitUnreadable = facts.unreadable.some(({ about }) => about === 'limit');
     const { limitPerS: perSecond } = facts;
-    if (perSecond !== undefined || (sentAt !== undefined && !isUnclear)) {
-      limits.noteAnswer(server, { perSecond, sentAt: sentAt ?? clock.now() });
+    if (perSecond !== undefined || (sentAt !== undefined && !isLimitUnreadable)) {
+      rateLimits.noteAnswer(server, { perSecond, sentAt: sentAt ?? clock.now() });
     }
-    if (facts.isLeaving) leaving.note(server);
+    if (facts.isLeaving) leavingServers.note(server);
   };
 
   return {
     read: (server, { statusCode = 0, headers }, sentAt) => {
       const facts = dialect.readAnswer(statusCode, headers);
-      take({ server, facts }, sentAt);
+      apply({ server, facts }, sentAt);
       if (!facts.isOfOther && facts.restMs !== undefined) {
-        allowances.noteBackoff(server, facts.restMs);
+        throttle.noteBackoff(server, facts.restMs);
       }
       return facts;
     },
     apply: (head) => {
-      take(head);
+      apply(head);
     },
   };
 }
--- a/src/app/gateway/settings.ts
+++ b/src/app/gateway/settings.ts
@@ -1,8 +1,8 @@
-/** Settings of a gateway daemon. Durations are milliseconds and end in `Ms`. */
+/** Settings of a gateway daemon. Durations are in milliseconds and end in `Ms`. */
 
 import type { DaemonId, ZoneId } from '../../core/ids';
 
-/** What holds for the life of the process. */
+/** Settings that are fixed for the lifetime of the process. */
 export interface GatewaySettings {
   readonly id: DaemonId;
   readonly zone: ZoneId;
@@ -10,36 +10,42 @@
   readonly cores: number;
   /** `host:port` for callers. */
   readonly listen: string;
-  /** `host:port` for the balancer's readiness probe, and for metrics. */
+  /** `host:port` for the load balancer's readiness probe and for metrics. */
   readonly readyListen: string;
   /** `host:port` for other daemons. */
   readonly peerListen: string;
-  /** Where to listen for them, if not at that address. */
+  /** Address to bind for other daemons, if different. */
   readonly peerBind?: string;
   readonly peerSecret: string;
 }
 
-/** What may change while the daemon runs. */
+/** Settings that may change while the daemon runs. */
 export interface GatewayTunables {
-  /** Peer addresses to join by. */
+  /** Addresses of peers to contact first. */
   readonly seeds: readonly string[];
-  /** A planned stop is cut off after this. */
+  /** Time limit of a graceful shutdown. */
   readonly shutdownMs: number;
   /** A head that waits for a lost member is broken after this. */
   readonly headBreakMs: number;
-  /** A server whose entry is gone, or says that it is leaving, gets nothing new after this. */
+  /**
+   * A server whose entry expired, or that announces that it is leaving, gets no new requests after
+   * this.
+   */
   readonly leavingMs: number;
   /** A configuration is in force on all daemons within this time of its acknowledgement. */
   readonly configMs: number;
   /**
-   * Daemons whose store or links were disturbed keep every promise again after this time of calm: what
-   * they learned before the disturbance must have been confirmed or replaced by then.
+   * After a disturbance of the store or of links, daemons meet all their guarantees again once it
+   * has been calm for this long: knowledge from before must be confirmed or replaced by then.
    */
   readonly settleMs: number;
-  /** Retries that the whole fleet may make in a window: a share of the requests, and a number. */
+  /**
+   * Retries that the whole fleet may make in a window: a ratio of the requests, plus a fixed
+   * number.
+   */
   readonly retryRatio: number;
   readonly retrySlack: number;
   readonly retryWindowMs: number;
-  /** Weight loads are limited over windows of this length. */
+  /** Length of the windows over which weight loads are limited. */
   readonly loadWindowMs: number;
 }
--- a/src/app/gateway/slot-admission.ts
+++ b/src/app/gateway/slot-admission.ts
@@ -86,13 +86,13 @@
   ): void => {
     if (lateRemaining.has(model)) return;
     lateRemaining.set(model, lateQuota(contention, random.next()));
-    const free = groups.map(({ head, freeSlots }) => ({
+    const freeByGroup = groups.map(({ head, freeSlots }) => ({
       head,
       // Slots released by own streams are already reserved for this daemon.
       places: Math.max(0, freeSlots - (grantedSlots.get(head) ?? 0)),
     }));
-    for (const [head, places] of grantSlots(free, onTimeShare(contention), random.next())) {
-      addGranted(head, places);
+    for (const [head, slots] of grantSlots(freeByGroup, onTimeShare(contention), random.next())) {
+      addGranted(head, slots);
     }
   };
 
@@ -141,7 +141,7 @@
       slacks.set(model, smoothHoldMs(slacks.get(model), slackMs));
       const ages = { agedMs: loadAgeMs, slackMs };
       const contention: Contention = {
-        freeCapacity: groups.reduce((sum, { freeCapacity: room }) => sum + room, 0),
+        freeCapacity: groups.reduce((sum, { freeCapacity }) => sum + freeCapacity, 0),
         local: expectLoad({ ...local, waiting: Math.max(1, local.waiting) }, ages),
         remote: expectLoad(remote, ages),
       };
--- a/src/app/gateway/stall-reporting.ts
+++ b/src/app/gateway/stall-reporting.ts
@@ -79,20 +79,21 @@
   };
 
   /** Handlers by finding. A daemon that could not reach a group may only have lost its own link. */
-  const handleFinding: Readonly<Record<StallFinding, (stall: Stall, reporter: DaemonId) => void>> =
-    {
-      seen: noteReport,
-      unreachable: (stall) => {
-        planner.inspect(stall);
-      },
-      confirmed: (stall, reporter) => {
-        actOn(stall, 'confirmed', `confirmed by ${reporter}`);
-      },
-      lost: (stall, reporter) => {
-        groupRegistry.suspect(stall.group, 'lost', `found by ${reporter}`);
-        groupRegistry.evacuate(stall);
-      },
-    };
+  const findingHandlers: Readonly<
+    Record<StallFinding, (stall: Stall, reporter: DaemonId) => void>
+  > = {
+    seen: noteReport,
+    unreachable: (stall) => {
+      planner.inspect(stall);
+    },
+    confirmed: (stall, reporter) => {
+      actOn(stall, 'confirmed', `confirmed by ${reporter}`);
+    },
+    lost: (stall, reporter) => {
+      groupRegistry.suspect(stall.group, 'lost', `found by ${reporter}`);
+      groupRegistry.evacuate(stall);
+    },
+  };
 
   const sendReport = ({ group, head }: Stall, finding: 'seen' | 'unreachable'): void => {
     const message = { kind: 'stalled', group, head, finding } as const;
@@ -101,7 +102,7 @@
     if (leader) fleet.send(leader.address, message);
     else if (isLarge) fleet.sendToLikelyLeaders(message);
     else fleet.broadcast(message);
-    handleFinding[finding]({ group, head }, ctx.settings.id);
+    findingHandlers[finding]({ group, head }, ctx.settings.id);
   };
 
   groupRegistry.stalls.subscribe((stall) => {
@@ -114,7 +115,7 @@
     actOn(stall, 'lost', 'members asked');
   });
 
-  const noteEvents = (idleTimes: PeerState['quiet']): void => {
+  const noteIdleTimes = (idleTimes: PeerState['quiet']): void => {
     const now = ctx.clock.now();
     for (const [head, idleMs] of idleTimes) {
       const eventAt = later(now, -idleMs);
@@ -131,9 +132,9 @@
 
   return {
     receive: (finding, stall, reporter) => {
-      handleFinding[finding](stall, reporter);
+      findingHandlers[finding](stall, reporter);
     },
-    noteIdleTimes: noteEvents,
+    noteIdleTimes,
     expire: pruneEvents,
   };
 }
--- a/src/app/gateway/store-access.ts
+++ b/src/app/gateway/store-access.ts
@@ -1,6 +1,7 @@
 /**
- * Lets one collection at a time try a store that does not answer. Every call has its price, whether it
- * is answered or not, and one answer shows all collections that the store is back.
+ * Coordinates retries to a store that does not answer: only one collection at a time probes it.
+ * Every call costs the store something, answered or not, and one answer shows all collections that
+ * it is back.
  */
 
 import { firstValueFrom, race, Subject, timer } from 'rxjs';
@@ -10,61 +11,64 @@
 import { FIRST_ERA } from '../../core/store-era';
 import type { StoreEra } from '../../core/store-era';
 
-/** An era of the store that was not known here before. */
+/** A newly observed era of the store. */
 export interface EraChange {
   readonly before: StoreEra;
   readonly era: StoreEra;
-  /** The call that showed it, or the peer that told of it. */
+  /** The call or the peer that reported it. */
   readonly source: string;
 }
 
 export interface StoreAccess {
-  /** Whether the last call of some collection failed, and none has been answered since. */
+  /** Whether the last call of some collection failed and none has succeeded since. */
   isAway(): boolean;
   noteFailure(collection: string): void;
   noteAnswer(now: MonoTime): void;
   /** When the store last answered; undefined before the first answer. */
   answeredAt(): MonoTime | undefined;
   /**
-   * Resolves when the collection may try again: at once for the one that tries for all, for others once
-   * the store has answered, or after `longestMs`.
+   * Resolves when the collection may try again: immediately for the probing collection, for others
+   * once the store has answered or after `longestMs`.
    */
   waitForRetry(collection: string, longestMs: number): Promise<void>;
-  /** The newest era of the store that is known here. */
+  /** The newest known era of the store. */
   era(): StoreEra;
-  /** What a call or a peer shows of the era, before anything is made of what else it says. */
+  /**
+   * Notes an era reported by a call or a peer. Must be called before the rest of the message is
+   * processed.
+   */
   noteEra(era: StoreEra, source: string): void;
-  /** Each newer era, within the call that notes it. */
+  /** Each newer era, emitted synchronously by `noteEra`. */
   readonly eras: Observable<EraChange>;
 }
 
 export function createStoreAccess(): StoreAccess {
   const answers = new Subject<void>();
-  let trying: string | undefined;
+  let probingCollection: string | undefined;
   let answeredAt: MonoTime | undefined;
   const eras = new Subject<EraChange>();
-  let known = FIRST_ERA;
+  let newestEra = FIRST_ERA;
   return {
     eras,
-    era: () => known,
+    era: () => newestEra,
     noteEra: (era, source) => {
-      if (era <= known) return;
-      const before = known;
-      known = era;
+      if (era <= newestEra) return;
+      const before = newestEra;
+      newestEra = era;
       eras.next({ before, era, source });
     },
-    isAway: () => trying !== undefined,
+    isAway: () => probingCollection !== undefined,
     noteFailure: (collection) => {
-      trying ??= collection;
+      probingCollection ??= collection;
     },
     noteAnswer: (now) => {
-      trying = undefined;
+      probingCollection = undefined;
       answeredAt = now;
       answers.next();
     },
     answeredAt: () => answeredAt,
     waitForRetry: async (collection, longestMs) => {
-      if (trying === undefined || trying === collection) return;
+      if (probingCollection === undefined || probingCollection === collection) return;
       await firstValueFrom(race(answers, timer(longestMs)));
     },
   };
--- a/src/app/gateway/stream-call.ts
+++ b/src/app/gateway/stream-call.ts
@@ -81,9 +81,9 @@
    */
   const waitUntil = (exchange: Exchange, model: ModelId, state: StreamState): MonoTime => {
     if (state.hasStarted) return exchange.answerBy;
-    if (groupRegistry.hasOpenGroup(exchange.service, model)) return exchange.placeBy;
+    if (groupRegistry.hasOpenGroup(exchange.service, model)) return exchange.slotBy;
     const unservedUntil = later(exchange.arrivedAt, UNSERVED_WAIT_MS);
-    return unservedUntil < exchange.placeBy ? unservedUntil : exchange.placeBy;
+    return unservedUntil < exchange.slotBy ? unservedUntil : exchange.slotBy;
   };
 
   /** Takes a slot in a group, if necessary after waiting in the queue. */
@@ -215,9 +215,9 @@
   state: StreamState,
 ): void {
   const { attempts, exposure, server, reason } = state;
-  const { res, gone } = exchange;
+  const { res, gone: callerSignal } = exchange;
   const times = streamTimesOf(exchange, state);
-  if (gone.aborted) {
+  if (callerSignal.aborted) {
     logRequestEnd(ctx, exchange, {
       outcome: 'caller-gone',
       status: 0,
@@ -264,10 +264,10 @@
     },
     Math.max(1, sendUntil - now),
   );
-  const onGone = (): void => {
+  const onDisconnect = (): void => {
     stop.abort(new Error('caller disconnected'));
   };
-  exchange.gone.addEventListener('abort', onGone, { once: true });
+  exchange.gone.addEventListener('abort', onDisconnect, { once: true });
   const stalls = merge(groupRegistry.stalls, groupRegistry.evacuated).subscribe((stall) => {
     if (stall.head === head.id) stop.abort(new Error('group stalled'));
   });
@@ -314,7 +314,7 @@
     });
   } finally {
     clearTimeout(timer);
-    exchange.gone.removeEventListener('abort', onGone);
+    exchange.gone.removeEventListener('abort', onDisconnect);
     stalls.unsubscribe();
     releaseSlot(deps, exchange, head.id, slot);
   }
--- a/src/app/gateway/stream-relay.ts
+++ b/src/app/gateway/stream-relay.ts
@@ -1,4 +1,4 @@
-/** Passes the answer of one attempt of a stream on to the caller, by whole events alone. */
+/** Forwards the answer of one attempt of a stream to the caller, in whole events only. */
 
 import type { Answered } from '../../adapters/upstream/upstream';
 import { createEventReader } from '../../core/gateway/events';
@@ -20,31 +20,31 @@
 /** Progress of one caller's stream over all its attempts. */
 export interface StreamState {
   readonly tried: Set<InstanceId>;
-  /** Groups that it was sent to. */
+  /** Number of groups that it was sent to. */
   attempts: number;
-  /** Groups whose heads could not be reached. */
+  /** Number of groups whose heads could not be reached. */
   unreached: number;
-  /** Head of the group that it was sent to last. */
+  /** Head of the group that it was last sent to. */
   server: InstanceId | undefined;
   exposure: Execution;
-  /** Id of the last event that the caller has. */
+  /** Id of the last event that the caller received. */
   lastId: number | undefined;
   hasStarted: boolean;
-  /** Time spent waiting for places, milliseconds. */
+  /** Time spent waiting for slots, milliseconds. */
   waitedMs: number;
   /** When the caller was sent its first event. */
   firstEventAt: MonoTime | undefined;
   reason: string;
 }
 
-/** A request's place in a group. */
+/** A request's slot in a group. */
 export interface Slot {
   readonly sentAt: MonoTime;
-  /** When the first event showed that the prompt has been read. */
+  /** When the first event showed that the prefill was done. */
   prefilledAt: MonoTime | undefined;
 }
 
-/** An answer that is being passed on. */
+/** An answer that is being forwarded. */
 export interface RelayedAnswer {
   readonly deps: RelayDeps;
   readonly exchange: Exchange;
@@ -59,41 +59,41 @@
 export type AttemptResult =
   'complete' | 'passed-on' | 'not-sent' | 'not-run' | 'lost' | 'caller-gone';
 
-/** Why an attempt was stopped, where it was; else what its connection says. */
+/** Why an attempt was aborted; `otherwise` if it was not. */
 export function abortReason(signal: AbortSignal, otherwise: string): string {
   return signal.reason instanceof Error ? signal.reason.message : otherwise;
 }
 
-/** Passes the answer on to its end or to where it breaks. */
-export async function relay(relayed: RelayedAnswer): Promise<AttemptResult> {
-  const { deps, exchange, group, state, answered, stop } = relayed;
+/** Forwards the answer until it ends or is interrupted. */
+export async function relay(relayedAnswer: RelayedAnswer): Promise<AttemptResult> {
+  const { deps, exchange, group, state, answered, stop } = relayedAnswer;
   const { res, destroy } = answered;
   const status = res.statusCode ?? 0;
-  const facts = deps.notices.read(group.head.id, res, relayed.slot.sentAt);
-  const lose = (reason: string): AttemptResult => {
+  const facts = deps.notices.read(group.head.id, res, relayedAnswer.slot.sentAt);
+  const discard = (reason: string): AttemptResult => {
     state.reason = reason;
     destroy();
     return exchange.gone.aborted ? 'caller-gone' : 'lost';
   };
   if (facts.requestId !== undefined && facts.requestId !== exchange.facts.requestId) {
-    return lose('answer to another request');
+    return discard('answer belongs to another request');
   }
   if (facts.isNotExecuted) {
     res.resume();
-    state.reason = `server says not executed (${status})`;
+    state.reason = `server reports the request as not executed (status ${status})`;
     deps.board.suspect(group.id, 'rejecting', state.reason);
     return 'not-run';
   }
-  if (status >= 300) return passFailure(deps, exchange, state, answered, facts);
-  if (!facts.isSigned) return lose('answer without signature');
-  const reason = await passEvents(relayed);
-  if (reason !== undefined) return lose(abortReason(stop, reason));
+  if (status >= 300) return forwardError(deps, exchange, state, answered, facts);
+  if (!facts.isSigned) return discard('answer is not signed');
+  const reason = await forwardEvents(relayedAnswer);
+  if (reason !== undefined) return discard(abortReason(stop, reason));
   exchange.res.end();
   return 'complete';
 }
 
-/** A failure that the server answered with: passed on where nothing was passed on before. */
-async function passFailure(
+/** Forwards an error response of the server if nothing was forwarded before. */
+async function forwardError(
   deps: RelayDeps,
   exchange: Exchange,
   state: StreamState,
@@ -105,7 +105,7 @@
   try {
     for await (const chunk of res) chunks.push(chunk as Buffer);
   } catch {
-    // Broken off: `complete` tells.
+    // Connection broken: detected through `complete` below.
   }
   state.reason = `server answered ${status}`;
   if (!res.complete || hasFailed() || state.hasStarted || !facts.isSigned) {
@@ -119,24 +119,24 @@
   return 'passed-on';
 }
 
-/** Passes events on until the end; gives a reason where the stream is not whole. */
-function passEvents(relayed: RelayedAnswer): Promise<string | undefined> {
-  const { deps, exchange, group, state, stop, slot: place } = relayed;
-  const { ctx, board, dialect } = deps;
+/** Forwards events until the end; resolves with a reason if the stream is incomplete. */
+function forwardEvents(relayedAnswer: RelayedAnswer): Promise<string | undefined> {
+  const { deps, exchange, group, state, stop, slot } = relayedAnswer;
+  const { ctx, board: groupRegistry, dialect } = deps;
   const head = group.head.id;
-  const { res: from, hasFailed } = relayed.answered;
+  const { res: upstreamRes, hasFailed } = relayedAnswer.answered;
   const { res } = exchange;
   const reader = createEventReader();
-  let lastAt: MonoTime | undefined;
+  let lastEventAt: MonoTime | undefined;
   return new Promise((resolve) => {
     const start = (): void => {
       if (state.hasStarted) return;
       state.hasStarted = true;
-      const headers = dialect.reply(from.rawHeaders);
-      res.writeHead(from.statusCode ?? 200, headers);
+      const headers = dialect.reply(upstreamRes.rawHeaders);
+      res.writeHead(upstreamRes.statusCode ?? 200, headers);
     };
     const onChunk = (chunk: Buffer): void => {
-      const passed: Buffer[] = [];
+      const forwarded: Buffer[] = [];
       for (const { bytes, id } of reader.push(chunk)) {
         if (id !== undefined) {
           if (state.lastId !== undefined && id !== state.lastId + 1) {
@@ -145,38 +145,40 @@
           }
           state.lastId = id;
         }
-        passed.push(bytes);
+        forwarded.push(bytes);
       }
       if (reader.isEventTooLong()) {
-        resolve('event too long');
+        resolve('event exceeds the size limit');
         return;
       }
-      if (passed.length === 0) return;
+      if (forwarded.length === 0) return;
       const now = ctx.clock.now();
-      board.noteEvent(head, lastAt === undefined ? undefined : now - lastAt);
-      lastAt = now;
-      if (place.prefilledAt === undefined) board.notePrefilled(head, exchange.facts.promptTokens);
-      place.prefilledAt ??= now;
+      groupRegistry.noteEvent(head, lastEventAt === undefined ? undefined : now - lastEventAt);
+      lastEventAt = now;
+      if (slot.prefilledAt === undefined)
+        groupRegistry.notePrefilled(head, exchange.facts.promptTokens);
+      slot.prefilledAt ??= now;
       state.firstEventAt ??= now;
       start();
-      res.write(passed.length === 1 ? passed[0] : Buffer.concat(passed));
+      res.write(forwarded.length === 1 ? forwarded[0] : Buffer.concat(forwarded));
     };
-    from.on('data', onChunk);
-    from.on('end', () => {
-      if (!from.complete || reader.hasPartialEvent() || hasFailed()) resolve('stream broken off');
+    upstreamRes.on('data', onChunk);
+    upstreamRes.on('end', () => {
+      if (!upstreamRes.complete || reader.hasPartialEvent() || hasFailed())
+        resolve('stream interrupted');
       else {
         start();
         resolve(undefined);
       }
     });
-    from.on('error', () => {
-      resolve('stream broken off');
+    upstreamRes.on('error', () => {
+      resolve('stream interrupted');
     });
-    from.on('close', () => {
-      resolve('stream broken off');
+    upstreamRes.on('close', () => {
+      resolve('stream interrupted');
     });
     stop.addEventListener('abort', () => {
-      from.off('data', onChunk);
+      upstreamRes.off('data', onChunk);
       resolve(abortReason(stop, 'stopped'));
     });
   });
--- a/src/app/gateway/take-slot.ts
+++ b/src/app/gateway/take-slot.ts
@@ -1,4 +1,4 @@
-/** Takes a place in a group for a stream. */
+/** Takes a slot in a group for a stream. */
 
 import { chooseGroup, pickWeightedGroup, listEligible } from '../../core/gateway/balance';
 import type { Arrivals } from './arrivals';
@@ -12,41 +12,54 @@
   readonly board: GroupRegistry;
   readonly waiting: WaitQueue;
   readonly arrivals: Arrivals;
-  /** Daemons that may choose as well, this one included. */
+  /** Daemons that may choose at the same time, this one included. */
   readonly daemons: () => number;
 }
 
 export interface SlotRequest extends GroupNeeds {
   readonly promptTokens: number;
-  /** Time that the request may wait for a place in all and still be on time, milliseconds. */
+  /** Total time that the request may wait for a slot and still be on time, milliseconds. */
   readonly slackMs: number;
   /** Whether that time has passed. */
   readonly isLate: boolean;
 }
 
-/** So few daemons hear of each other soon enough to choose the least filled group. */
-const FEW_DAEMONS = 10;
+/**
+ * Up to this many daemons learn of each other's choices soon enough to choose the least loaded
+ * group.
+ */
+const MAX_LEAST_LOADED_DAEMONS = 10;
 
-/** The group in which a place was taken; undefined where none has room for this daemon. */
+/**
+ * Returns the group in which a slot was taken; undefined if none has free capacity for this daemon.
+ */
 export function takeSlot(
   deps: SlotDeps,
   { promptTokens, slackMs, isLate, ...needs }: SlotRequest,
 ): ServingGroup | undefined {
-  const { ctx, board, waiting, arrivals, daemons } = deps;
+  const { ctx, board: groupRegistry, waiting: waitQueue, arrivals, daemons } = deps;
   const { model } = needs;
-  const here = { waiting: waiting.count(model), perSecond: arrivals.rate(model) };
-  const admission = board.admit(model, board.candidates(needs), { local: here, slackMs, isLate });
-  const open = listEligible(admission.groups, (head) => board.grantedSlots(head), promptTokens);
+  const local = { waiting: waitQueue.count(model), perSecond: arrivals.rate(model) };
+  const admission = groupRegistry.admit(model, groupRegistry.candidates(needs), {
+    local,
+    slackMs,
+    isLate,
+  });
+  const eligible = listEligible(
+    admission.groups,
+    (head) => groupRegistry.grantedSlots(head),
+    promptTokens,
+  );
   const { zone } = ctx.settings;
   const random = (): number => ctx.random.next();
   const found =
-    daemons() > FEW_DAEMONS
-      ? pickWeightedGroup(open, zone, random)
-      : chooseGroup(open, promptTokens, zone, random());
-  const group = found && board.find(found.head);
+    daemons() > MAX_LEAST_LOADED_DAEMONS
+      ? pickWeightedGroup(eligible, zone, random)
+      : chooseGroup(eligible, promptTokens, zone, random());
+  const group = found && groupRegistry.find(found.head);
   if (!group) return undefined;
-  // The place is taken in the same tick, so that the next request in turn sees it taken.
+  // The slot is taken in the same tick, so that the next request in the queue sees it as taken.
   admission.noteSent();
-  board.noteSent(group.head.id, promptTokens);
+  groupRegistry.noteSent(group.head.id, promptTokens);
   return group;
 }
--- a/src/app/gateway/wait-queue.ts
+++ b/src/app/gateway/wait-queue.ts
@@ -1,4 +1,4 @@
-/** Requests that wait on this daemon for a place in a group. */
+/** Queue of this daemon's requests that wait for a slot in a group. */
 
 import { compareWaiting } from '../../core/gateway/waiting-order';
 import type { WaitingRequest } from '../../core/gateway/waiting-order';
@@ -9,52 +9,55 @@
 
 export interface Waiter extends WaitingRequest {
   readonly model: ModelId;
-  /** Given up after this. */
+  /** The wait ends unsuccessfully at this time. */
   readonly until: MonoTime;
   readonly gone: AbortSignal;
-  /** Groups tried before are left out, so that there may be none though others find one. */
+  /**
+   * Retries skip the groups they tried before, so none may be left for them while there is one for
+   * others.
+   */
   readonly isRetry: boolean;
-  /** Takes a place in a group, if one is free. */
+  /** Takes a slot in a group, if one is free. */
   readonly choose: () => ServingGroup | undefined;
 }
 
 export interface WaitQueue {
-  /** Undefined once the wait is over in vain. */
+  /** Resolves with undefined if the wait ends without a slot. */
   wait(waiter: Waiter): Promise<ServingGroup | undefined>;
   waiting(): readonly (readonly [ModelId, number])[];
-  /** Requests that wait for the model. */
+  /** Number of requests that wait for the model. */
   count(model: ModelId): number;
 }
 
-interface Entry extends Waiter {
+interface QueueEntry extends Waiter {
   readonly settle: (group: ServingGroup | undefined) => void;
 }
 
-export function createWaitQueue(ctx: GatewayContext, board: GroupRegistry): WaitQueue {
-  const entries = new Set<Entry>();
+export function createWaitQueue(ctx: GatewayContext, groupRegistry: GroupRegistry): WaitQueue {
+  const entries = new Set<QueueEntry>();
   const counts = new Map<ModelId, number>();
   let isServing = false;
 
-  const inTurn = (): Entry[] => {
+  const inOrder = (): QueueEntry[] => {
     const now = ctx.clock.now();
     return [...entries].sort((a, b) => compareWaiting(a, b, now));
   };
 
-  /** Serves in turn; a model found full is not looked at again in the same round. */
+  /** Serves requests in order; a model found full is skipped for the rest of the round. */
   const serve = (): void => {
     if (entries.size === 0 || isServing) return;
     isServing = true;
-    const full = new Set<ModelId>();
-    for (const entry of inTurn()) {
-      if (full.has(entry.model)) continue;
+    const fullModels = new Set<ModelId>();
+    for (const entry of inOrder()) {
+      if (fullModels.has(entry.model)) continue;
       const group = entry.choose();
       if (group) entry.settle(group);
-      else if (!entry.isRetry) full.add(entry.model);
+      else if (!entry.isRetry) fullModels.add(entry.model);
     }
     isServing = false;
   };
 
-  board.changes.subscribe(serve);
+  groupRegistry.changes.subscribe(serve);
 
   const addCount = (model: ModelId, by: 1 | -1): void => {
     const count = (counts.get(model) ?? 0) + by;
@@ -68,15 +71,15 @@
         if (!entries.delete(entry)) return;
         addCount(entry.model, -1);
         clearTimeout(timer);
-        waiter.gone.removeEventListener('abort', onGone);
+        waiter.gone.removeEventListener('abort', onAbort);
         resolve(group);
       };
-      const onGone = (): void => {
+      const onAbort = (): void => {
         settle(undefined);
       };
-      const entry: Entry = { ...waiter, settle };
-      const timer = setTimeout(onGone, Math.max(0, waiter.until - ctx.clock.now()));
-      waiter.gone.addEventListener('abort', onGone, { once: true });
+      const entry: QueueEntry = { ...waiter, settle };
+      const timer = setTimeout(onAbort, Math.max(0, waiter.until - ctx.clock.now()));
+      waiter.gone.addEventListener('abort', onAbort, { once: true });
       entries.add(entry);
       addCount(entry.model, 1);
     });
--- a/src/app/gateway/watch.ts
+++ b/src/app/gateway/watch.ts
@@ -1,4 +1,7 @@
-/** Follows a collection of the platform's store: loads it, then waits for changes, for as long as the daemon runs. */
+/**
+ * Follows a collection of the platform's store for the lifetime of the daemon: loads it, then polls
+ * for changes.
+ */
 
 import type { Result } from 'neverthrow';
 
@@ -13,7 +16,10 @@
 import { pause } from '../../utils/pause';
 import type { GatewayContext } from './context';
 
-/** What changes are: `copy` is the whole collection of a store that came back from an older copy. */
+/**
+ * Kind of a set of changes: incremental changes, or a load of the whole collection; `copy` is a
+ * load from a store restored from an older copy.
+ */
 export type ChangeKind = 'changes' | 'whole' | 'copy';
 
 export interface WatchOptions<T> {
@@ -21,98 +27,103 @@
   /** How long the store should hold a poll for changes, milliseconds. */
   readonly waitMs?: () => number;
   /**
-   * Until when a peer's word shows that what is known here is young enough. Meanwhile polls wait as long
-   * as they like; without it each is over in time for another one.
+   * Until when a peer's confirmation shows that this daemon's knowledge is fresh enough. Until then
+   * polls may wait for any time; otherwise each ends early enough for another one.
    */
   readonly freshUntil?: (now: MonoTime) => MonoTime;
   /**
-   * When to look again after a look that ended at `since`: changes come in groups, and each call has
-   * its price. Asked again while the rest lasts, so that it may end early or go on. Without changes
-   * the next poll follows at once, unless `restsAlways`.
+   * When to poll again after a poll that ended at `since`: changes come in groups, and each call
+   * has a cost. Evaluated repeatedly during the pause, which may so be shortened or extended.
+   * Without changes the next poll follows at once, unless `pausesWhenUnchanged` is set.
    */
   readonly nextPollAt?: (since: MonoTime) => MonoTime;
   readonly pausesWhenUnchanged?: boolean;
-  /** Changes in the order of the store, or the whole collection. */
+  /** Receives changes in the order of the store, or the whole collection. */
   readonly apply: (changes: readonly Change<T>[], kind: ChangeKind) => void;
 }
 
 export interface Watch {
-  /** Up to where in the store's history the collection is known. */
+  /** Position in the store's history up to which the collection is known. */
   position(): StorePosition;
   /** Time since the store last answered, milliseconds; since the start before the first answer. */
   ageMs(): number;
-  /** The end of the last failure of the store; undefined where there was none. */
+  /** End of the store's last failure; undefined if there was none. */
   recoveredAt(): MonoTime | undefined;
   isFailing(): boolean;
-  /** The collection is known up to there by another way. */
+  /** Notes that the collection is known up to a position from another source. */
   skipTo(position: StorePosition): void;
   stop(): void;
 }
 
 const DEFAULT_WAIT_MS = 8_000;
-const DEFAULT_REST_MS = 20;
-/** A rest that may end early, and a call that may be given up, are looked at this often. */
-const LOOK_MS = 100;
-/** Daemons learn of the store's return together, and read from it anew within this time, milliseconds. */
-const SPREAD_MS = 400;
-/** Between tries while the store fails: at once soon after a failure, then so often that all daemons stay far below its rate. */
+const DEFAULT_POLL_DELAY_MS = 20;
+/** Interval of checks whether to end a pause or abort a call early. */
+const CHECK_MS = 100;
+/**
+ * Daemons learn of the store's return at the same time, so their reloads are spread over this time,
+ * milliseconds.
+ */
+const RELOAD_SPREAD_MS = 400;
+/**
+ * Delays between retries while the store fails: almost none at first, then long enough that all
+ * daemons together stay far below the store's rate limit.
+ */
 const FIRST_RETRY_MS = 60;
-const LONGEST_RETRY_MS = 500;
+const MAX_RETRY_MS = 500;
 /**
- * The same while a peer vouches for what is known here: hundreds of daemons that the store turns away
- * learn all from peers, and need it again only some time after its return.
+ * Maximum delay while a peer confirms that this daemon's knowledge is fresh, as a fraction of the
+ * settling time: hundreds of daemons that the store refuses get everything from peers, and need the
+ * store again only some time after its return.
  */
-const VOUCHED_RETRY_SHARE = 0.3;
+const CONFIRMED_RETRY_SHARE = 0.3;
 
 export function watchFeed<T>(ctx: GatewayContext, options: WatchOptions<T>): Watch {
-  const {
-    feed,
-    apply: take,
-    waitMs = () => DEFAULT_WAIT_MS,
-    pausesWhenUnchanged: restsAlways = false,
-  } = options;
-  const { nextPollAt: restUntil = (since: MonoTime) => later(since, DEFAULT_REST_MS) } = options;
-  const { freshUntil: trustUntil = (now: MonoTime) => now } = options;
+  const { feed, apply, waitMs = () => DEFAULT_WAIT_MS, pausesWhenUnchanged = false } = options;
+  const { nextPollAt = (since: MonoTime) => later(since, DEFAULT_POLL_DELAY_MS) } = options;
+  const { freshUntil = (now: MonoTime) => now } = options;
   let position = ORIGIN_POSITION;
   /** The next call loads the whole collection. */
   let mustLoad = true;
-  /** The store came back from an older copy since the last load. */
-  let isCopy = false;
-  /** Ends the call under way. */
+  /** The store was restored from an older copy since the last load. */
+  let isRestoredCopy = false;
+  /** Aborts the call in progress. */
   let cancel = new AbortController();
-  let contact = readClocks(ctx);
-  let returnedAt: MonoTime | undefined;
+  let lastContact = readClocks(ctx);
+  let recoveredAt: MonoTime | undefined;
   let failures = 0;
   let stopped = false;
 
-  const ageMs = (): number => elapsedMs(contact, readClocks(ctx));
+  const ageMs = (): number => elapsedMs(lastContact, readClocks(ctx));
 
-  const accept = (result: Changes<T>, isWhole: boolean): void => {
+  const accept = (result: Changes<T>, isFullLoad: boolean): void => {
     const awayMs = Math.round(ageMs());
-    contact = readClocks(ctx);
+    lastContact = readClocks(ctx);
     if (failures > 0) {
-      returnedAt = contact.mono;
+      recoveredAt = lastContact.mono;
       const fields = { step: 'watch', collection: feed.name, failures, awayMs };
       ctx.logger.info('store regained', fields);
     }
     failures = 0;
-    ctx.store.noteAnswer(contact.mono);
+    ctx.store.noteAnswer(lastContact.mono);
     position = latest(position, result.position);
-    if (!isWhole && result.changes.length === 0) return;
-    const whole = isCopy ? 'copy' : 'whole';
-    if (isWhole) [mustLoad, isCopy] = [false, false];
-    take(result.changes, isWhole ? whole : 'changes');
+    if (!isFullLoad && result.changes.length === 0) return;
+    const loadKind = isRestoredCopy ? 'copy' : 'whole';
+    if (isFullLoad) [mustLoad, isRestoredCopy] = [false, false];
+    apply(result.changes, isFullLoad ? loadKind : 'changes');
   };
 
-  const longestRetryMs = (): number => {
+  const maxRetryMs = (): number => {
     const now = ctx.clock.now();
-    if (now >= trustUntil(now)) return LONGEST_RETRY_MS;
-    return Math.max(LONGEST_RETRY_MS, ctx.tunables.value.settleMs * VOUCHED_RETRY_SHARE);
+    if (now >= freshUntil(now)) return MAX_RETRY_MS;
+    return Math.max(MAX_RETRY_MS, ctx.tunables.value.settleMs * CONFIRMED_RETRY_SHARE);
   };
 
   const fail = async (err: StepError, sentAt: MonoTime): Promise<void> => {
     if (err.code === 'history-gone') {
-      ctx.logger.warn('history gone, loading anew', { step: 'watch', collection: feed.name });
+      ctx.logger.warn('history no longer available, reloading', {
+        step: 'watch',
+        collection: feed.name,
+      });
       mustLoad = true;
       return;
     }
@@ -128,19 +139,23 @@
     };
     if (failures === 1) ctx.logger.warn('store lost', fields);
     else ctx.logger.info('store call failed again', fields);
-    const delay = Math.min(longestRetryMs(), FIRST_RETRY_MS * 2 ** Math.min(failures, 8));
+    const delay = Math.min(maxRetryMs(), FIRST_RETRY_MS * 2 ** Math.min(failures, 8));
     ctx.store.noteFailure(feed.name);
     await pause(delay * (0.5 + ctx.random.next() / 2));
     await ctx.store.waitForRetry(feed.name, maxCallMs(ctx.tunables.value.settleMs));
   };
 
-  const rest = async (): Promise<void> => {
+  const pauseUntilNextPoll = async (): Promise<void> => {
     const since = ctx.clock.now();
-    const leftMs = (): number => restUntil(since) - ctx.clock.now();
-    for (let left = leftMs(); left > 0; left = leftMs()) await pause(Math.min(left, LOOK_MS));
+    const remainingMs = (): number => nextPollAt(since) - ctx.clock.now();
+    for (let remaining = remainingMs(); remaining > 0; remaining = remainingMs())
+      await pause(Math.min(remaining, CHECK_MS));
   };
 
-  /** Polls once; undefined where the call was given up only because what is known here has grown old. */
+  /**
+   * Polls once; undefined if the call was aborted only because this daemon's knowledge became stale
+   * or the era changed.
+   */
   const poll = async (): Promise<Result<Changes<T>, StepError> | undefined> => {
     const { settleMs } = ctx.tunables.value;
     const sentAt = ctx.clock.now();
@@ -148,67 +163,70 @@
       now: sentAt,
       settleMs,
       preferredWaitMs: waitMs(),
-      freshUntil: trustUntil(sentAt),
+      freshUntil: freshUntil(sentAt),
       isFailing: failures > 0,
     });
-    const looks = setInterval(() => {
+    const checkTimer = setInterval(() => {
       const now = ctx.clock.now();
       const answeredAt = ctx.store.answeredAt();
-      const verdict = checkPoll(plan, {
+      const decision = checkPoll(plan, {
         now,
-        freshUntil: trustUntil(now),
+        freshUntil: freshUntil(now),
         ...(answeredAt !== undefined && { answeredAt }),
       });
-      if (verdict !== 'wait') cancel.abort(verdict);
-    }, LOOK_MS);
+      if (decision !== 'wait') cancel.abort(decision);
+    }, CHECK_MS);
     const result = await feed.poll(position, plan.waitMs, cancel.signal);
-    clearInterval(looks);
-    const isNews = cancel.signal.reason === 'renew' || cancel.signal.reason === 'era';
-    return result.isErr() && isNews ? undefined : result;
+    clearInterval(checkTimer);
+    const isRenewal = cancel.signal.reason === 'renew' || cancel.signal.reason === 'era';
+    return result.isErr() && isRenewal ? undefined : result;
   };
 
   const step = async (): Promise<void> => {
-    const isWhole = mustLoad;
-    if (isCopy) await pause(ctx.random.next() * SPREAD_MS);
+    const isFullLoad = mustLoad;
+    if (isRestoredCopy) await pause(ctx.random.next() * RELOAD_SPREAD_MS);
     cancel = new AbortController();
     const sentAt = ctx.clock.now();
-    const result = await (isWhole ? feed.load() : poll());
+    const result = await (isFullLoad ? feed.load() : poll());
     if (stopped || !result) return;
     if (result.isErr()) {
       await fail(result.error, sentAt);
       return;
     }
     if (result.value.position.era < ctx.store.era()) {
-      await fail(outdated(), sentAt);
+      await fail(staleEraError(), sentAt);
       return;
     }
-    accept(result.value, isWhole);
-    if (restsAlways || result.value.changes.length > 0) await rest();
+    accept(result.value, isFullLoad);
+    if (pausesWhenUnchanged || result.value.changes.length > 0) await pauseUntilNextPoll();
   };
 
-  /** The collection may have gone back: it is read anew, and what is missing may come again soon. */
-  const loadAnew = (): void => {
-    returnedAt = ctx.clock.now();
-    [mustLoad, isCopy] = [true, true];
+  /** The collection may have gone back: it is loaded again, and missing entries may soon return. */
+  const reload = (): void => {
+    recoveredAt = ctx.clock.now();
+    [mustLoad, isRestoredCopy] = [true, true];
     ctx.logger.info('loading anew from an older copy', { step: 'watch', collection: feed.name });
     cancel.abort('era');
   };
   const eras = ctx.store.eras.subscribe(({ era }) => {
-    if (isLater(position, ORIGIN_POSITION) && position.era < era) loadAnew();
+    if (isLater(position, ORIGIN_POSITION) && position.era < era) reload();
   });
 
   const run = async (): Promise<void> => {
     while (!stopped) await step();
   };
   void run().catch((err: unknown) => {
-    ctx.logger.error('watch ended by a fault', { step: 'watch', reason: String(err) });
+    ctx.logger.error('watch failed with an unexpected error', {
+      step: 'watch',
+      reason: String(err),
+    });
     throw err;
   });
 
   return {
     position: () => position,
     ageMs,
-    recoveredAt: () => returnedAt,
+    recoveredAt: () => recoveredAt,
     isFailing: () => failures > 0,
     skipTo: (known) => {
       if (!mustLoad && known.era === position.era) position = latest(position, known);
@@ -220,16 +238,21 @@
   };
 }
 
-/** Of what was read before the store's return, and answered after that was known. */
-function outdated(): StepError {
-  return makeError('store-unavailable', 'answer of an earlier era', { step: 'watch' });
+/**
+ * Error for an answer that was read before the store's return but arrived after the new era was
+ * known.
+ */
+function staleEraError(): StepError {
+  return makeError('store-unavailable', 'answer belongs to an earlier store era', {
+    step: 'watch',
+  });
 }
 
-/** Whether the store was away at some time since `ms` milliseconds ago. */
+/** Whether the store was failing at some time in the last `ms` milliseconds. */
 export function hasFailedWithin(watch: Watch, now: MonoTime, ms: number): boolean {
   if (watch.isFailing()) return true;
-  const returned = watch.recoveredAt();
-  return returned !== undefined && now < later(returned, ms);
+  const recoveredAt = watch.recoveredAt();
+  return recoveredAt !== undefined && now < later(recoveredAt, ms);
 }
 
 /** An instant on both clocks. */
@@ -243,8 +266,9 @@
 }
 
 /**
- * A suspended process does not see its monotonic clock move, and the time of day may jump. The longer of
- * the two is believed: knowledge that is taken for too old costs a call, the other way round a promise.
+ * The monotonic clock stops while a process is suspended, and the wall clock may jump, so the
+ * longer of the two times is used: overestimating the age of knowledge costs a call,
+ * underestimating it breaks a guarantee.
  */
 function elapsedMs(from: Clocks, to: Clocks): number {
   return Math.max(to.mono - from.mono, to.epoch - from.epoch);
--- a/src/app/gateway/work-log.ts
+++ b/src/app/gateway/work-log.ts
@@ -1,4 +1,7 @@
-/** The leader's account of places, waiting requests and servers: a line a second for each model and service. */
+/**
+ * Log of slots, waiting requests and servers, written by the leader: a line a second for each model
+ * and service.
+ */
 
 import { summarizeServers } from '../../core/gateway/work';
 import type { WaitingLoad } from '../../core/gateway/work';
@@ -11,13 +14,13 @@
 import type { PeerState } from './messages';
 
 export interface WorkLog {
-  /** `states`: of all daemons that are heard, this one included. */
+  /** `states`: of all daemons that are heard from, this one included. */
   tick(now: MonoTime, states: () => readonly PeerState[]): void;
 }
 
 const INTERVAL_MS = 1_000;
 
-function waitingIn(states: readonly PeerState[]): WaitingLoad[] {
+function waitingLoads(states: readonly PeerState[]): WaitingLoad[] {
   return sumLoads(states).waiting.map(([model, daemons, requests]) => ({
     model: brandAs<ModelId>(model),
     daemons,
@@ -27,7 +30,7 @@
 
 export function createWorkLog(
   { clock, logger }: GatewayContext,
-  board: GroupRegistry,
+  groupRegistry: GroupRegistry,
   servers: ReadonlyMap<InstanceId, BackendServer>,
 ): WorkLog {
   let dueAt = clock.now();
@@ -36,9 +39,9 @@
     tick: (now, states) => {
       if (now < dueAt) return;
       dueAt = later(now, INTERVAL_MS);
-      const heard = states();
-      for (const { model, ...work } of board.work(waitingIn(heard))) {
-        logger.info('work of a model', { step: 'work', model, daemons: heard.length, ...work });
+      const received = states();
+      for (const { model, ...work } of groupRegistry.work(waitingLoads(received))) {
+        logger.info('work of a model', { step: 'work', model, daemons: received.length, ...work });
       }
       for (const work of summarizeServers(servers.values())) {
         logger.info('servers of a service', { step: 'work', ...work });
