--- a/src/app/admin/admin.ts
+++ b/src/app/admin/admin.ts
@@ -6,7 +6,7 @@
 
 import { fail } from '../../utils/errors';
 import type { HttpHandler } from '../parts';
-import { findOperator } from './auth';
+import { authenticate } from './auth';
 import { DEFAULT_MAX_BODY_BYTES } from './deps';
 import type { AdminDeps } from './deps';
 import {
@@ -16,8 +16,8 @@
   readOrganisation,
   submitConfig,
 } from './documents';
-import { refuse, sendResult } from './exchange';
-import type { Answered } from './exchange';
+import { toRefusal, sendResult } from './exchange';
+import type { RouteResult } from './exchange';
 import { addKey, listKeys, removeKey } from './keys';
 import { drain, DRAIN_TOPIC, readStatus } from './operations';
 import type { Route } from './route';
@@ -40,10 +40,10 @@
   'DELETE keys/': removeKey,
 };
 
-interface Target {
+interface ResolvedRoute {
   readonly route: Route | undefined;
   /** Whether the path exists with another method. */
-  readonly known: boolean;
+  readonly isKnownPath: boolean;
   readonly name: string;
 }
 
@@ -55,7 +55,7 @@
   }
 }
 
-function findTarget(method: string, path: string): Target {
+function resolveRoute(method: string, path: string): ResolvedRoute {
   const rest = path.startsWith(PREFIX) ? path.slice(PREFIX.length) : '';
   const slash = rest.indexOf('/');
   const resource = slash === -1 ? rest : rest.slice(0, slash + 1);
@@ -63,25 +63,25 @@
   const key = `${method} ${resource}`;
   const route = Object.hasOwn(ROUTES, key) ? ROUTES[key] : undefined;
   const known = Object.keys(ROUTES).some((other) => other.endsWith(` ${resource}`));
-  return { route, known, name };
+  return { route, isKnownPath: known, name };
 }
 
 function parseUrl(req: IncomingMessage): URL {
   return URL.parse(req.url ?? '/', 'http://admin') ?? new URL('http://admin/');
 }
 
-function answer(deps: AdminDeps, req: IncomingMessage): Answered {
+function dispatch(deps: AdminDeps, req: IncomingMessage): RouteResult {
   const url = parseUrl(req);
-  const operator = findOperator(
+  const operator = authenticate(
     deps.config.current(),
     deps.bootstrapKeyHash,
     req.headers.authorization,
   );
-  if (operator.isErr()) return errAsync(refuse(operator.error));
-  const { route, known, name } = findTarget(req.method ?? 'GET', url.pathname);
+  if (operator.isErr()) return errAsync(toRefusal(operator.error));
+  const { route, isKnownPath: known, name } = resolveRoute(req.method ?? 'GET', url.pathname);
   if (route === undefined) {
     const code = known ? 'method-not-allowed' : 'not-found';
-    return errAsync(refuse(fail(code, 'no such route', { step: 'admin-route' })));
+    return errAsync(toRefusal(fail(code, 'no such route', { step: 'admin-route' })));
   }
   const maxBodyBytes = deps.maxBodyBytes ?? DEFAULT_MAX_BODY_BYTES;
   return route({ deps, req, url, operator: operator.value, name, maxBodyBytes });
@@ -97,11 +97,11 @@
     });
   return (req, res) => {
     // A route that breaks its own promise answers with an error all the same.
-    void Promise.resolve(answer(deps, req))
+    void Promise.resolve(dispatch(deps, req))
       .catch((cause: unknown) => {
         deps.logger.error('administration request failed', { step: 'admin-route' });
         const message = 'the request could not be worked through';
-        return err(refuse(fail('internal', message, { step: 'admin-route', cause })));
+        return err(toRefusal(fail('internal', message, { step: 'admin-route', cause })));
       })
       .then((result) => {
         sendResult(req, res, result);
--- a/src/app/admin/auth.ts
+++ b/src/app/admin/auth.ts
@@ -19,7 +19,7 @@
 const STEP = 'admin-auth';
 
 /** Errors: `unauthorized` (no known key), `forbidden` (a caller's key). */
-export function findOperator(
+export function authenticate(
   config: Config,
   bootstrapKeyHash: string | undefined,
   authorization: string | undefined,
--- a/src/app/admin/documents.ts
+++ b/src/app/admin/documents.ts
@@ -15,27 +15,27 @@
 import { requireOrganisation } from './auth';
 import type { Operator } from './auth';
 import type { AdminDeps } from './deps';
-import { etagOf, readChangeId, readDocument, readIfMatch, readObject, refuse } from './exchange';
-import type { Answer, Answered, Refusal } from './exchange';
+import { etagOf, readChangeId, readDocument, readIfMatch, readObject, toRefusal } from './exchange';
+import type { RouteResponse, RouteResult, Refusal } from './exchange';
 import { mergePatch } from './merge-patch';
 import type { Route } from './route';
 
 export type JsonRecord = Readonly<Record<string, Json>>;
 
 /** Changes that are made anew when another operator was faster. */
-const MAX_RACES = 5;
+const MAX_CONFLICT_RETRIES = 5;
 
-export function recordOf(value: Json | undefined): JsonRecord {
+export function asRecord(value: Json | undefined): JsonRecord {
   return isRecord(value) ? value : {};
 }
 
 /** What the operator may see of a document. */
-function viewOf(operator: Operator, document: Json): Json {
+function visibleDocument(operator: Operator, document: Json): Json {
   const { organisation } = operator;
   return organisation === undefined ? document : scopeDocument(document, organisation);
 }
 
-function checkWhole(document: Json): Result<Json, Refusal> {
+function validateDocument(document: Json): Result<Json, Refusal> {
   const checked = checkDocument(document);
   if (checked.isOk()) return ok(document);
   const fields = checked.error;
@@ -43,18 +43,18 @@
   return err({ error, fields });
 }
 
-function accepted({ version }: AcceptedConfig, changeId: string): Answer {
+function acceptedResponse({ version }: AcceptedConfig, changeId: string): RouteResponse {
   return { status: 200, body: { version, changeId }, headers: etagOf(version) };
 }
 
-function submitLogged(deps: AdminDeps, change: ConfigChange): Answered {
+function submitLogged(deps: AdminDeps, change: ConfigChange): RouteResult {
   return deps.config
     .submit(change)
     .andTee(({ version }) => {
       deps.logger.info('configuration accepted', { step: 'config-submit', version });
     })
-    .map((result) => accepted(result, change.changeId))
-    .mapErr(refuse);
+    .map((result) => acceptedResponse(result, change.changeId))
+    .mapErr(toRefusal);
 }
 
 /** `PUT /admin/v1/config`. */
@@ -66,7 +66,7 @@
   const { changeId, ifVersion } = ids.value;
   const { organisation } = operator;
   return readDocument(req, maxBodyBytes)
-    .andThen((document) => (organisation === undefined ? checkWhole(document) : ok(document)))
+    .andThen((document) => (organisation === undefined ? validateDocument(document) : ok(document)))
     .andThen((document) =>
       submitLogged(deps, {
         changeId,
@@ -89,15 +89,15 @@
 /** `GET /admin/v1/config`, with `?version=` for an earlier one. */
 export const readConfig: Route = ({ deps, url, operator }) => {
   const version = parseVersion(url.searchParams.get('version'));
-  if (version.isErr()) return errAsync(refuse(version.error));
+  if (version.isErr()) return errAsync(toRefusal(version.error));
   return deps.config
     .read(version.value)
     .map((found) => ({
       status: 200,
-      body: { version: found.version, document: viewOf(operator, found.document) },
+      body: { version: found.version, document: visibleDocument(operator, found.document) },
       headers: etagOf(found.version),
     }))
-    .mapErr(refuse);
+    .mapErr(toRefusal);
 };
 
 /** `GET /admin/v1/versions`. */
@@ -105,7 +105,7 @@
   deps.config
     .versions()
     .map((versions) => ({ status: 200, body: { versions } }))
-    .mapErr(refuse);
+    .mapErr(toRefusal);
 
 /** One change made from the newest document. */
 export interface Amendment {
@@ -118,13 +118,13 @@
 }
 
 /** Reads the newest document, changes it and submits it; again when another change came between. */
-export function amend(deps: AdminDeps, amendment: Amendment, races = 0): Answered {
+export function amend(deps: AdminDeps, amendment: Amendment, races = 0): RouteResult {
   const { changeId, ifVersion, organisation, change } = amendment;
-  const read: ResultAsync<AcceptedConfig, Refusal> = deps.config.read().mapErr(refuse);
+  const read: ResultAsync<AcceptedConfig, Refusal> = deps.config.read().mapErr(toRefusal);
   return read
     .andThen(({ version, document }) =>
-      change(recordOf(document))
-        .andThen(checkWhole)
+      change(asRecord(document))
+        .andThen(validateDocument)
         .map((changed) => ({ version, changed })),
     )
     .andThen(({ version, changed }) =>
@@ -135,20 +135,20 @@
         ...(organisation === undefined ? {} : { organisation }),
       }),
     )
-    .orElse((refusal): Answered => {
+    .orElse((refusal): RouteResult => {
       const raced = refusal.error.code === 'conflict' && ifVersion === undefined;
-      return raced && races < MAX_RACES ? amend(deps, amendment, races + 1) : errAsync(refusal);
+      return raced && races < MAX_CONFLICT_RETRIES ? amend(deps, amendment, races + 1) : errAsync(refusal);
     });
 }
 
 function unknownOrganisation(id: string): Refusal {
-  return refuse(fail('not-found', `no organisation ${id}`, { step: 'config-amend' }));
+  return toRefusal(fail('not-found', `no organisation ${id}`, { step: 'config-amend' }));
 }
 
 /** `PATCH /admin/v1/organisations/{id}`: a merge patch of one organisation's parameters. */
 export const amendOrganisation: Route = ({ deps, req, operator, name, maxBodyBytes }) => {
   const ids = requireOrganisation(operator, name)
-    .mapErr(refuse)
+    .mapErr(toRefusal)
     .andThen(() => readChangeId(req))
     .andThen((changeId) => readIfMatch(req).map((ifVersion) => ({ changeId, ifVersion })));
   if (ids.isErr()) return errAsync(ids.error);
@@ -159,7 +159,7 @@
       organisation: name,
       ...(ifVersion === undefined ? {} : { ifVersion }),
       change: (document) => {
-        const organisations = recordOf(document.organisations);
+        const organisations = asRecord(document.organisations);
         if (!Object.hasOwn(organisations, name)) return err(unknownOrganisation(name));
         const own = mergePatch(organisations[name], patch);
         return ok({ ...document, organisations: { ...organisations, [name]: own } });
@@ -171,12 +171,12 @@
 /** `GET /admin/v1/organisations/{id}`: its parameters as written. */
 export const readOrganisation: Route = ({ deps, operator, name }) => {
   const allowed = requireOrganisation(operator, name);
-  if (allowed.isErr()) return errAsync(refuse(allowed.error));
+  if (allowed.isErr()) return errAsync(toRefusal(allowed.error));
   return deps.config
     .read()
-    .mapErr(refuse)
-    .andThen(({ version, document }): Answered => {
-      const organisations = recordOf(recordOf(document).organisations);
+    .mapErr(toRefusal)
+    .andThen(({ version, document }): RouteResult => {
+      const organisations = asRecord(asRecord(document).organisations);
       if (!Object.hasOwn(organisations, name)) return errAsync(unknownOrganisation(name));
       const body = { version, parameters: organisations[name] };
       return okAsync({ status: 200, body, headers: etagOf(version) });
--- a/src/app/admin/exchange.ts
+++ b/src/app/admin/exchange.ts
@@ -15,7 +15,7 @@
 import { isRecord } from '../../utils/is';
 
 /** An answer with a JSON body. */
-export interface Answer {
+export interface RouteResponse {
   readonly status: number;
   readonly body: unknown;
   readonly headers?: Readonly<Record<string, string>>;
@@ -27,28 +27,28 @@
   readonly fields?: readonly FieldError[];
 }
 
-export type Answered = ResultAsync<Answer, Refusal>;
+export type RouteResult = ResultAsync<RouteResponse, Refusal>;
 
 const RETRY_AFTER_SECONDS = '2';
 const ETAG = /^"?(\d{1,15})"?$/;
 const CHANGE_ID = /^[\w.:-]{1,128}$/;
 
-export function refuse(error: StepError): Refusal {
+export function toRefusal(error: StepError): Refusal {
   return { error };
 }
 
 function badRequest(message: string, step: string): Refusal {
-  return refuse(fail('bad-request', message, { step }));
+  return toRefusal(fail('bad-request', message, { step }));
 }
 
-async function readAll(req: IncomingMessage, maxBytes: number): Promise<Result<string, Refusal>> {
+async function readBody(req: IncomingMessage, maxBytes: number): Promise<Result<string, Refusal>> {
   const parts: Buffer[] = [];
   let bytes = 0;
   for await (const part of req as AsyncIterable<Buffer>) {
     bytes += part.byteLength;
     if (bytes > maxBytes) {
       const message = `a body has at most ${maxBytes} bytes`;
-      return err(refuse(fail('body-too-large', message, { step: 'admin-body' })));
+      return err(toRefusal(fail('body-too-large', message, { step: 'admin-body' })));
     }
     parts.push(part);
   }
@@ -57,10 +57,10 @@
 
 /** The body as a document; YAML and so JSON. */
 export function readDocument(req: IncomingMessage, maxBytes: number): ResultAsync<Json, Refusal> {
-  const text = ResultAsync.fromPromise(readAll(req, maxBytes), () =>
+  const text = ResultAsync.fromPromise(readBody(req, maxBytes), () =>
     badRequest('the body was cut short', 'admin-body'),
   );
-  return text.andThen((result) => result).andThen((source) => parseDocument(source).mapErr(refuse));
+  return text.andThen((result) => result).andThen((source) => parseDocument(source).mapErr(toRefusal));
 }
 
 /** The body as an object. */
@@ -75,14 +75,14 @@
   );
 }
 
-function single(req: IncomingMessage, name: string): string | undefined {
+function singleHeader(req: IncomingMessage, name: string): string | undefined {
   const value = req.headers[name];
   return Array.isArray(value) ? value[0] : value;
 }
 
 /** The version in `If-Match`, as the API gives it in `ETag`. */
 export function readIfMatch(req: IncomingMessage): Result<ConfigVersion | undefined, Refusal> {
-  const text = single(req, 'if-match');
+  const text = singleHeader(req, 'if-match');
   if (text === undefined) return ok(undefined);
   const version = ETAG.exec(text)?.[1];
   if (version === undefined) return err(badRequest('If-Match must be a version', 'admin-if-match'));
@@ -91,7 +91,7 @@
 
 /** The submitter's id of a change; a new one where none was given. */
 export function readChangeId(req: IncomingMessage): Result<string, Refusal> {
-  const text = single(req, 'nutmegstack-change-id');
+  const text = singleHeader(req, 'nutmegstack-change-id');
   if (text === undefined) return ok(randomUUID());
   if (CHANGE_ID.test(text)) return ok(text);
   const message = 'Nutmegstack-Change-Id must be 1 to 128 letters, digits or any of _.:-';
@@ -107,7 +107,7 @@
   return code === 'store-unknown' || code === 'internal' ? 'unknown' : 'not-run';
 }
 
-function errorAnswer({ error, fields }: Refusal): Answer {
+function errorResponse({ error, fields }: Refusal): RouteResponse {
   const { code, message, step, peer } = error;
   const status = statusOf(code);
   const retry = status === 429 || status === 503;
@@ -118,7 +118,7 @@
   };
 }
 
-function send(res: ServerResponse, { status, body, headers = {} }: Answer): void {
+function send(res: ServerResponse, { status, body, headers = {} }: RouteResponse): void {
   const text = `${JSON.stringify(body)}\n`;
   res.writeHead(status, {
     'content-type': 'application/json',
@@ -132,11 +132,11 @@
 export function sendResult(
   req: IncomingMessage,
   res: ServerResponse,
-  result: Result<Answer, Refusal>,
+  result: Result<RouteResponse, Refusal>,
 ): void {
   if (res.destroyed) return;
   // What is left of a body that was refused is not read.
   const closing = req.complete ? {} : { connection: 'close' };
-  const answer = result.match((given) => given, errorAnswer);
+  const answer = result.match((given) => given, errorResponse);
   send(res, { ...answer, headers: { ...answer.headers, ...closing } });
 }
--- a/src/app/admin/keys.ts
+++ b/src/app/admin/keys.ts
@@ -7,24 +7,24 @@
 import { fail } from '../../utils/errors';
 import { requireOrganisation, requirePlatform } from './auth';
 import type { Operator } from './auth';
-import { amend, recordOf } from './documents';
+import { amend, asRecord } from './documents';
 import type { JsonRecord } from './documents';
-import { readChangeId, readObject, refuse } from './exchange';
+import { readChangeId, readObject, toRefusal } from './exchange';
 import type { Refusal } from './exchange';
 import type { Route } from './route';
 
 function keysOf(document: JsonRecord): readonly JsonRecord[] {
   const { keys } = document;
-  return Array.isArray(keys) ? (keys as readonly Json[]).map(recordOf) : [];
+  return Array.isArray(keys) ? (keys as readonly Json[]).map(asRecord) : [];
 }
 
 /** Errors: `forbidden` unless the key is one of the operator's own organisation. */
-function requireOwn(operator: Operator, { organisation }: JsonRecord): Result<void, Refusal> {
+function requireOwnKey(operator: Operator, { organisation }: JsonRecord): Result<void, Refusal> {
   const allowed =
     typeof organisation === 'string'
       ? requireOrganisation(operator, organisation)
       : requirePlatform(operator);
-  return allowed.mapErr(refuse);
+  return allowed.mapErr(toRefusal);
 }
 
 /** `GET /admin/v1/keys`: hashes with what they grant. */
@@ -32,17 +32,17 @@
   deps.config
     .read()
     .map(({ version, document }) => {
-      const keys = keysOf(recordOf(document)).filter((key) => requireOwn(operator, key).isOk());
+      const keys = keysOf(asRecord(document)).filter((key) => requireOwnKey(operator, key).isOk());
       return { status: 200, body: { version, keys } };
     })
-    .mapErr(refuse);
+    .mapErr(toRefusal);
 
 /** `POST /admin/v1/keys` `{hash, organisation?, role, class?}`. */
 export const addKey: Route = ({ deps, req, operator, maxBodyBytes }) => {
   const changeId = readChangeId(req);
   if (changeId.isErr()) return errAsync(changeId.error);
   return readObject(req, maxBodyBytes)
-    .andThen((key) => requireOwn(operator, key).map(() => key))
+    .andThen((key) => requireOwnKey(operator, key).map(() => key))
     .andThen((key) =>
       amend(deps, {
         changeId: changeId.value,
@@ -61,8 +61,8 @@
       const keys = keysOf(document);
       const found = keys.find(({ hash }) => hash === name);
       // Another organisation's key looks as if it were not there.
-      if (found === undefined || requireOwn(operator, found).isErr()) {
-        return err(refuse(fail('not-found', 'no such key', { step: 'config-amend' })));
+      if (found === undefined || requireOwnKey(operator, found).isErr()) {
+        return err(toRefusal(fail('not-found', 'no such key', { step: 'config-amend' })));
       }
       return ok({ ...document, keys: keys.filter((key) => key !== found) });
     },
--- a/src/app/admin/metrics-page.ts
+++ b/src/app/admin/metrics-page.ts
@@ -7,8 +7,8 @@
 
 import type { Metrics } from '../../ports/telemetry';
 import type { ConfigView, HttpHandler } from '../parts';
-import { findOperator, requirePlatform } from './auth';
-import { refuse, sendResult } from './exchange';
+import { authenticate, requirePlatform } from './auth';
+import { toRefusal, sendResult } from './exchange';
 
 export interface MetricsPageOptions {
   readonly config: ConfigView;
@@ -26,13 +26,13 @@
       rest(req, res);
       return;
     }
-    const allowed = findOperator(
+    const allowed = authenticate(
       opts.config.current(),
       opts.bootstrapKeyHash,
       req.headers.authorization,
     ).andThen(requirePlatform);
     if (allowed.isErr()) {
-      sendResult(req, res, err(refuse(allowed.error)));
+      sendResult(req, res, err(toRefusal(allowed.error)));
       return;
     }
     void opts.metrics.render().then((text) => {
--- a/src/app/admin/operations.ts
+++ b/src/app/admin/operations.ts
@@ -7,8 +7,8 @@
 import { fail } from '../../utils/errors';
 import { requirePlatform } from './auth';
 import type { AdminDeps } from './deps';
-import { readObject, refuse } from './exchange';
-import type { Answered } from './exchange';
+import { readObject, toRefusal } from './exchange';
+import type { RouteResult } from './exchange';
 import type { Route } from './route';
 
 /** Topic of the message by which one daemon asks another to stop. */
@@ -27,7 +27,7 @@
   return okAsync({ status: 200, body });
 };
 
-function drainDaemon(deps: AdminDeps, id: DaemonId): Answered {
+function drainDaemon(deps: AdminDeps, id: DaemonId): RouteResult {
   const { membership } = deps;
   const body = { draining: { daemon: id } };
   if (id === membership.self) {
@@ -35,25 +35,25 @@
     return okAsync({ status: 202, body });
   }
   if (!membership.peers().some((peer) => peer.id === id)) {
-    return errAsync(refuse(fail('not-found', `no daemon ${id} is known`, { step: STEP })));
+    return errAsync(toRefusal(fail('not-found', `no daemon ${id} is known`, { step: STEP })));
   }
   if (membership.direct.send(id, DRAIN_TOPIC, {})) return okAsync({ status: 202, body });
   const message = 'the daemon cannot be reached from here';
-  return errAsync(refuse(fail('unavailable', message, { step: STEP, peer: id })));
+  return errAsync(toRefusal(fail('unavailable', message, { step: STEP, peer: id })));
 }
 
-function drainInstance(deps: AdminDeps, id: InstanceId): Answered {
+function drainInstance(deps: AdminDeps, id: InstanceId): RouteResult {
   return deps.control
     .drainInstance(id)
     .map(() => ({ status: 202, body: { draining: { instance: id } } }))
-    .mapErr(refuse);
+    .mapErr(toRefusal);
 }
 
 /** `POST /admin/v1/drain` `{daemon}` or `{instance}`. */
 export const drain: Route = ({ deps, req, operator, maxBodyBytes }) => {
   const allowed = requirePlatform(operator);
-  if (allowed.isErr()) return errAsync(refuse(allowed.error));
-  return readObject(req, maxBodyBytes).andThen(({ daemon, instance }): Answered => {
+  if (allowed.isErr()) return errAsync(toRefusal(allowed.error));
+  return readObject(req, maxBodyBytes).andThen(({ daemon, instance }): RouteResult => {
     if (typeof daemon === 'string' && instance === undefined) {
       return drainDaemon(deps, brandAs<DaemonId>(daemon));
     }
@@ -61,6 +61,6 @@
       return drainInstance(deps, brandAs<InstanceId>(instance));
     }
     const message = 'name either a daemon or an instance';
-    return errAsync(refuse(fail('bad-request', message, { step: STEP })));
+    return errAsync(toRefusal(fail('bad-request', message, { step: STEP })));
   });
 };
--- a/src/app/admin/route.ts
+++ b/src/app/admin/route.ts
@@ -4,7 +4,7 @@
 
 import type { Operator } from './auth';
 import type { AdminDeps } from './deps';
-import type { Answered } from './exchange';
+import type { RouteResult } from './exchange';
 
 export interface RouteContext {
   readonly deps: AdminDeps;
@@ -16,4 +16,4 @@
   readonly maxBodyBytes: number;
 }
 
-export type Route = (ctx: RouteContext) => Answered;
+export type Route = (ctx: RouteContext) => RouteResult;
--- a/src/app/config/config.ts
+++ b/src/app/config/config.ts
@@ -24,10 +24,10 @@
 import { CONFIG_DEFAULTS } from './settings';
 import type { ConfigSettings } from './settings';
 import { runSubmit } from './submit';
-import { createSync } from './sync';
-import type { SyncDeps } from './sync';
+import { createConfigSync } from './sync';
+import type { ConfigSyncDeps } from './sync';
 
-export interface ConfigDeps extends SyncDeps {
+export interface ConfigDeps extends ConfigSyncDeps {
   readonly settings?: Partial<ConfigSettings>;
 }
 
@@ -79,13 +79,13 @@
 export function createConfig(deps: ConfigDeps): ConfigPart {
   const settings: ConfigSettings = { ...CONFIG_DEFAULTS, ...deps.settings };
   const { table, gossip, clock } = deps;
-  const sync = createSync(deps, settings);
+  const sync = createConfigSync(deps, settings);
 
   function takeEffect(accepted: AcceptedConfig): void {
     const { version, document } = accepted;
     // A repeated change or one that changed nothing: peers know it already.
     if (version <= sync.state().mark.version) return;
-    const push = createPush(sync.state(), version, document, settings.pushBytes);
+    const push = createPush(sync.state(), version, document, settings.maxPushBytes);
     sync.dispatch({ kind: 'document', mark: push.mark, document, from: 'self' });
     const expiresAt = later(clock.epoch(), settings.pushTtlMs);
     gossip.publish(PUSH_TOPIC, `v/${version}`, encodePush(push), expiresAt);
@@ -103,7 +103,7 @@
 
   function submit(request: ConfigChange): ResultAsync<AcceptedConfig, StepError> {
     const change = toChange(request);
-    const running = runSubmit({ ...deps, submitMs: settings.submitMs }, change);
+    const running = runSubmit({ ...deps, submitTimeoutMs: settings.submitTimeoutMs }, change);
     return ResultAsync.fromSafePromise(running).andThen((answer) => {
       if (answer.kind === 'accepted') return documentOf(change, answer).andTee(takeEffect);
       return errAsync(fail(answer.code, answer.message, { step: 'config-submit' }));
--- a/src/app/config/messages.ts
+++ b/src/app/config/messages.ts
@@ -39,17 +39,17 @@
 }
 
 /** Drops fields without a value: JSON has no `undefined`. */
-function plain(value: unknown): Json {
+function toJson(value: unknown): Json {
   return JSON.parse(JSON.stringify(value)) as Json;
 }
 
 export function encodePush(push: Push): Json {
-  return plain(push);
+  return toJson(push);
 }
 
 export function parsePush(value: Json): Push | undefined {
   const parsed = pushSchema.safeParse(value);
-  return parsed.success ? (plain(parsed.data) as unknown as Push) : undefined;
+  return parsed.success ? (toJson(parsed.data) as unknown as Push) : undefined;
 }
 
 export function parseWant(value: Json): ConfigVersion | undefined {
@@ -58,7 +58,7 @@
 }
 
 export function encodeDocument(message: DocumentMessage): Json {
-  return plain(message);
+  return toJson(message);
 }
 
 export function parseDocumentMessage(value: Json): DocumentMessage | undefined {
--- a/src/app/config/settings.ts
+++ b/src/app/config/settings.ts
@@ -6,9 +6,9 @@
   /** Share of a period by which each wait varies, so that daemons do not read together. */
   readonly jitter: number;
   /** Longest that a submitted change is tried before its outcome is unknown. */
-  readonly submitMs: number;
+  readonly submitTimeoutMs: number;
   /** A change larger than this is only announced; daemons fetch the document. */
-  readonly pushBytes: number;
+  readonly maxPushBytes: number;
   /** Life of a pushed change in gossip. */
   readonly pushTtlMs: number;
   /** Fetches after an announcement are spread over this time for each daemon known. */
@@ -18,8 +18,8 @@
 export const CONFIG_DEFAULTS: ConfigSettings = {
   pollMs: 3000,
   jitter: 0.2,
-  submitMs: 5000,
-  pushBytes: 2048,
+  submitTimeoutMs: 5000,
+  maxPushBytes: 2048,
   pushTtlMs: 30_000,
   fetchSpreadMsPerDaemon: 0.5,
 };
--- a/src/app/config/submit.ts
+++ b/src/app/config/submit.ts
@@ -26,7 +26,7 @@
   readonly table: Table;
   readonly clock: Clock;
   readonly random: Random;
-  readonly submitMs: number;
+  readonly submitTimeoutMs: number;
 }
 
 type Perform<K extends SubmitEffect['kind']> = (
@@ -84,7 +84,7 @@
 
 /** Tries the change until it is accepted, refused or given up; ends soon after `submitMs`. */
 export async function runSubmit(deps: SubmitDeps, change: Change): Promise<SubmitAnswer> {
-  let step = startSubmit(change, later(deps.clock.now(), deps.submitMs));
+  let step = startSubmit(change, later(deps.clock.now(), deps.submitTimeoutMs));
   for (;;) {
     const [effect] = step.effects;
     if (!effect) return { kind: 'refused', code: 'internal', message: 'no answer was made' };
--- a/src/app/config/sync.ts
+++ b/src/app/config/sync.ts
@@ -29,7 +29,7 @@
 } from './messages';
 import type { ConfigSettings } from './settings';
 
-export interface SyncDeps {
+export interface ConfigSyncDeps {
   readonly self: DaemonId;
   readonly table: Table;
   readonly gossip: Gossip;
@@ -42,7 +42,7 @@
   readonly metrics?: Metrics;
 }
 
-export interface Sync {
+export interface ConfigSync {
   readonly changes: Observable<Config>;
   state(): InForceState;
   dispatch(event: InForceEvent): void;
@@ -51,7 +51,7 @@
   stop(): void;
 }
 
-export function createSync(deps: SyncDeps, settings: ConfigSettings): Sync {
+export function createConfigSync(deps: ConfigSyncDeps, settings: ConfigSettings): ConfigSync {
   const { table, gossip, direct, random, logger, metrics } = deps;
   const changes = new BehaviorSubject<Config>(NOTHING_IN_FORCE.config);
   const stopped = new Subject<void>();
--- a/src/app/control/briefing.ts
+++ b/src/app/control/briefing.ts
@@ -1,50 +1,60 @@
-/** Tells the holders of domains what they need besides the rows and the reports. */
+/**
+ * Feeds the reducers of the held domains everything but rows and engine reports: model plans, listed
+ * instances, drain marks, open slots and the load on other domains.
+ */
 
 import type { ModelPlan } from '../../core/groups/domain-types';
 import { openSlots } from '../../core/groups/slots';
 import type { InstanceInfo } from '../../core/groups/types';
 import type { DomainId, ModelId } from '../../core/ids';
 import type { Directory } from './directory';
-import type { Holders } from './holders';
-import type { News } from './news';
+import type { HeldDomains } from './held-domains';
+import type { ControlGossip } from './gossip';
 import type { Watches } from './watches';
 
-export interface BriefingSources {
-  readonly holders: Holders;
+export interface DomainInputSources {
+  readonly heldDomains: HeldDomains;
   readonly directory: Directory;
   readonly watches: Watches;
-  readonly news: News;
+  readonly news: ControlGossip;
   readonly plans: () => Readonly<Record<ModelId, ModelPlan>>;
 }
 
-export interface Briefing {
-  one(domain: DomainId): void;
-  readonly all: () => void;
+export interface DomainInputs {
+  /** Sends the current inputs to one domain. */
+  update(domain: DomainId): void;
+  /** Sends the current inputs to all held domains. */
+  readonly updateAll: () => void;
 }
 
-export function createBriefing(from: BriefingSources): Briefing {
-  const { holders, directory, watches, news } = from;
+export function createDomainInputs(from: DomainInputSources): DomainInputs {
+  const { heldDomains: heldDomains, directory, watches, news } = from;
 
-  const tell = (domain: DomainId, instances: readonly InstanceInfo[]): void => {
+  const send = (domain: DomainId, instances: readonly InstanceInfo[]): void => {
     const models = from.plans();
     const listed = directory.inDomain(domain);
     const groups = watches.all().map(({ row }) => row);
-    holders.tell(domain, { kind: 'configured', models });
-    holders.tell(domain, { kind: 'listed', instances: listed });
+    heldDomains.dispatch(domain, { kind: 'configured', models });
+    heldDomains.dispatch(domain, { kind: 'listed', instances: listed });
     for (const { id } of listed) {
-      if (directory.isMarked(id)) holders.tell(domain, { kind: 'drain', instance: id });
+      if (directory.isMarkedLeaving(id))
+        heldDomains.dispatch(domain, { kind: 'drain', instance: id });
     }
     const open = openSlots({ domain, models, groups, instances });
-    holders.tell(domain, { kind: 'slots', open, loadsElsewhere: news.loadsElsewhere(domain) });
+    heldDomains.dispatch(domain, {
+      kind: 'slots',
+      open,
+      loadsElsewhere: news.loadsInOtherDomains(domain),
+    });
   };
 
   return {
-    one: (domain) => {
-      tell(domain, directory.instances());
+    update: (domain) => {
+      send(domain, directory.instances());
     },
-    all: () => {
+    updateAll: () => {
       const instances = directory.instances();
-      for (const { domain } of holders.all()) tell(domain, instances);
+      for (const { domain } of heldDomains.all()) send(domain, instances);
     },
   };
 }
--- a/src/app/control/codec.ts
+++ b/src/app/control/codec.ts
@@ -1,4 +1,4 @@
-/** Rows and gossip values of the control plane, checked when they come in. */
+/** Schemas and decoders of the control plane's table rows and gossip values. */
 
 import * as z from 'zod';
 
@@ -37,7 +37,7 @@
 
 const FENCE = z.object({ fencing: COUNT });
 
-/** Gives the value typed, ids branded, or nothing where it is not what it should be. */
+/** Returns the value with its type and branded ids, or undefined if it doesn't match the schema. */
 export type Decoder<T> = (value: unknown) => T | undefined;
 
 function decoder(schema: z.ZodType): Decoder<unknown> {
@@ -52,50 +52,53 @@
 export const decodeLease = decoder(LEASE) as Decoder<LeaseRow>;
 export const decodeFence = decoder(FENCE) as Decoder<FenceRow>;
 
-/** The row with its version, or nothing where the value is not what it should be. */
-export function versioned<R>(row: Row | undefined, decode: Decoder<R>): Versioned<R> | undefined {
+/** Decodes a row, keeping its version; undefined if the row is absent or invalid. */
+export function decodeVersioned<R>(
+  row: Row | undefined,
+  decode: Decoder<R>,
+): Versioned<R> | undefined {
   const value = row && decode(row.value);
   return row && value !== undefined ? { version: row.version, row: value } : undefined;
 }
 
-/** A typed row as the table takes it. */
+/** Converts a typed row to JSON for the table or gossip. */
 export function encode(row: object): Json {
   return JSON.parse(JSON.stringify(row)) as Json;
 }
 
-const STATED = z.object({
+const STATEMENT = z.object({
   groups: z.array(z.tuple([z.string(), COUNT])),
   forMs: z.number().nonnegative(),
   seq: COUNT,
 });
 
-/** One observer's word on the groups of a domain that it sees whole. */
-export interface StatedValue {
+/** An observer's statement of the groups of a domain that it sees complete. */
+export interface StatementValue {
   readonly groups: readonly (readonly [id: GroupRow['id'], epoch: GroupRow['epoch']])[];
   readonly forMs: number;
   readonly seq: number;
 }
 
-const WARNED = z.object({ epoch: COUNT, seq: COUNT });
+const WARNING = z.object({ epoch: COUNT, seq: COUNT });
 
-/** One observer's word that a group is not whole. */
-export interface WarnedValue {
+/** An observer's warning that a group is not complete. */
+export interface WarningValue {
   readonly epoch: GroupRow['epoch'];
   readonly seq: number;
 }
 
-const TOLD = z.object({ version: COUNT, row: GROUP, gone: z.boolean() });
+const GROUP_ROW = z.object({ version: COUNT, row: GROUP, gone: z.boolean() });
 
-/** A group's row as its holder just wrote it. */
-export interface ToldValue {
+/** A group's row as its holder just wrote it; `gone` if the group was dissolved. */
+export interface GroupRowValue {
   readonly version: number;
   readonly row: GroupRow;
   readonly gone: boolean;
 }
 
-export const decodeStated = decoder(STATED) as Decoder<StatedValue>;
-export const decodeWarned = decoder(WARNED) as Decoder<WarnedValue>;
-export const decodeTold = decoder(TOLD) as Decoder<ToldValue>;
+export const decodeStatement = decoder(STATEMENT) as Decoder<StatementValue>;
+export const decodeWarning = decoder(WARNING) as Decoder<WarningValue>;
+export const decodeGroupRow = decoder(GROUP_ROW) as Decoder<GroupRowValue>;
 export const decodeLoads = decoder(z.object({ loads: COUNT })) as Decoder<{
   readonly loads: number;
 }>;
--- a/src/app/control/context.ts
+++ b/src/app/control/context.ts
@@ -1,4 +1,4 @@
-/** What all pieces of the control plane share. */
+/** Dependencies and helpers shared by all modules of the control plane. */
 
 import type { ResultAsync } from 'neverthrow';
 
@@ -30,12 +30,13 @@
 /** The dependencies with all settings filled in. */
 export interface ControlContext extends Omit<ControlDeps, 'settings'> {
   readonly settings: ControlSettings;
-  /** Chosen at start: rows written by an earlier process of the same id are another's. */
+  /** Chosen at start, so that an earlier process of the same id counts as another holder. */
   readonly session: string;
-  /** Calls on their way, so that a stop can wait for them. */
+  /** Calls of ports in flight, which a stop waits for. */
   readonly inFlight: InFlight;
 }
 
+/** Counter of calls in flight. */
 export interface InFlight {
   readonly size: number;
   add(): void;
@@ -57,11 +58,12 @@
   };
 }
 
-export function stepAt(ctx: ControlContext): StepContext {
+/** Context for one step of a reducer. */
+export function stepContext(ctx: ControlContext): StepContext {
   return { now: ctx.clock.now() };
 }
 
-/** Runs a call of a port and hands its result on, one way or the other. */
+/** Passes the result of a port call to `onOk` or `onErr`, counting the call as in flight until then. */
 export function settleCall<T>(
   ctx: ControlContext,
   call: ResultAsync<T, StepError>,
@@ -74,7 +76,7 @@
   });
 }
 
-/** Logs a failed call of a port. */
+/** Logs a failed port call, at debug level. */
 export function logFailure(ctx: ControlContext, err: StepError): void {
   const peer = err.peer === undefined ? {} : { peer: err.peer };
   ctx.logger.debug(err.message, { step: err.step, code: err.code, ...peer });
--- a/src/app/control/control.ts
+++ b/src/app/control/control.ts
@@ -1,6 +1,7 @@
 /**
- * The control plane of one daemon: leases, observation, groups. Events come in from the table, the
- * instance list, probes, gossip and the clock; reducers decide; orders and transactions go out.
+ * The control plane of one daemon: domain leases, group observation and group formation. Events from
+ * the table, the instance list, probes, gossip and the clock are fed to reducers, whose effects are
+ * sent as orders to engines and transactions on the table.
  */
 
 import { errAsync } from 'neverthrow';
@@ -13,21 +14,21 @@
 import type { DomainId, InstanceId, ModelId, MonoTime } from '../../core/ids';
 import { pause } from '../../utils/pause';
 import type { ControlPart } from '../parts';
-import { createBriefing } from './briefing';
+import { createDomainInputs } from './briefing';
 import { logFailure, settleCall } from './context';
 import type { ControlDeps } from './context';
-import { createDemand } from './demand';
+import { createOnDemandProbes } from './demand';
 import { createDirectory } from './directory';
-import { createDue } from './due';
-import { createHolders } from './holders';
+import { createPeriodicTasks } from './due';
+import { createHeldDomains } from './held-domains';
 import { createLeases } from './leases';
-import { createMeasures } from './measures';
-import { createNews } from './news';
+import { createShortfallMetrics } from './shortfall-metrics';
+import { createControlGossip } from './gossip';
 import { createProbes } from './probes';
 import { createRoles } from './roles';
-import { NO_LOAD, paceOf } from './settings';
-import type { Pace } from './settings';
-import { contextOf, plansOf, unknownInstance } from './setup';
+import { INITIAL_SIZE, intervalsFor } from './settings';
+import type { Intervals } from './settings';
+import { createContext, plansOf, unknownInstanceError } from './setup';
 import { statusOf } from './status';
 import { createStore } from './store';
 import { createWatches } from './watches';
@@ -37,80 +38,85 @@
 export type { ControlDeps } from './context';
 export type { ControlOverrides } from './settings';
 
-/** Beside the part itself, a tick for those who bring their own clock. */
+/** The control part, with a tick for callers that drive time themselves. */
 export interface DrivenControl extends ControlPart {
-  /** One look at all deadlines. `start` calls it every `tickMs` unless told not to. */
+  /** Checks all deadlines once. `start` calls it every `tickMs` unless given other `ticks`. */
   tick(): void;
-  /** Domains that this daemon may decide for at this instant. */
+  /** Domains whose lease this daemon validly holds now. */
   heldDomains(): readonly DomainId[];
 }
 
 export interface ControlOptions {
-  /** What drives the ticks; left out: the event loop's timer. */
+  /** Source of ticks; defaults to a timer with period `tickMs`. */
   readonly ticks?: Observable<unknown>;
 }
 
-/** Between two looks at whether all leases are handed back. */
-const RELEASE_LOOK_MS = 20;
+/** Interval at which `stop` checks whether all leases are released. */
+const RELEASE_POLL_MS = 20;
 
-type Work = 'list' | 'leases' | 'groups' | 'roles' | 'brief' | 'state';
+type TaskName = 'list' | 'leases' | 'groups' | 'roles' | 'brief' | 'state';
 
 export function createControl(deps: ControlDeps, options: ControlOptions = {}): DrivenControl {
-  const ctx = contextOf(deps);
+  const ctx = createContext(deps);
   const { clock, settings } = ctx;
   const store = createStore(ctx.table);
   const watches = createWatches(ctx);
   const leases = createLeases(ctx, store);
-  const measures = createMeasures(ctx);
+  const shortfall = createShortfallMetrics(ctx);
   const subscription = new Subscription();
-  const due = createDue<Work>();
+  const tasks = createPeriodicTasks<TaskName>();
   let scanning = false;
   let plansInForce: Readonly<Record<ModelId, ModelPlan>> = {};
-  let pace: Pace = paceOf(settings, NO_LOAD);
+  let intervals: Intervals = intervalsFor(settings, INITIAL_SIZE);
 
   const reported = (report: EngineReport, sentAt: MonoTime): void => {
-    for (const state of holders.all()) {
+    for (const state of heldDomains.all()) {
       if (!state.instances[report.instance]) continue;
-      holders.tell(state.domain, { kind: 'reported', instance: report.instance, report, sentAt });
+      heldDomains.dispatch(state.domain, {
+        kind: 'reported',
+        instance: report.instance,
+        report,
+        sentAt,
+      });
     }
-    watches.reported(report, sentAt, later(sentAt, pace.freshMs));
-    if (report.leaving) leave(report.instance);
+    watches.reported(report, sentAt, later(sentAt, intervals.probeValidMs));
+    if (report.leaving) announceLeaving(report.instance);
   };
 
   const silent = (instance: InstanceId, sentAt: MonoTime): void => {
-    holders.tellAll({ kind: 'silent', instance, sentAt });
+    heldDomains.dispatchAll({ kind: 'silent', instance, sentAt });
     watches.silent(instance, sentAt);
   };
 
-  /** Tells all, the first time that this daemon hears of it. */
-  const leave = (instance: InstanceId): void => {
-    if (directory.isMarked(instance)) return;
+  /** Marks the instance and publishes it by gossip, the first time only. */
+  const announceLeaving = (instance: InstanceId): void => {
+    if (directory.isMarkedLeaving(instance)) return;
     markLeaving(instance);
-    news.leaving(instance);
+    gossip.leaving(instance);
   };
 
   const markLeaving = (instance: InstanceId): void => {
     directory.markLeaving(instance);
-    holders.tellAll({ kind: 'drain', instance });
+    heldDomains.dispatchAll({ kind: 'drain', instance });
     watches.tick(directory.isLeaving);
   };
 
   const directory = createDirectory(ctx, () => {
     for (const [domain, zone] of directory.domains()) {
-      if (!leases.isKnown(domain)) due.now('leases');
-      leases.know(domain, zone);
+      if (!leases.hasDomain(domain)) tasks.markDue('leases');
+      leases.addDomain(domain, zone);
     }
-    // The others hear of it from the listers: one entry of gossip for each daemon is too many.
-    const tellAll = roles.isLister() ? leave : markLeaving;
+    // Only listers publish it: one gossip entry from each daemon would be too many.
+    const mark = roles.isLister() ? announceLeaving : markLeaving;
     for (const { id, leaving } of directory.instances()) {
-      if (leaving && !directory.isMarked(id)) tellAll(id);
+      if (leaving && !directory.isMarkedLeaving(id)) mark(id);
     }
-    briefing.all();
+    domainInputs.updateAll();
     watches.tick(directory.isLeaving);
   });
 
-  const holders = createHolders(ctx, store, leases, {
-    wrote: (written) => {
+  const heldDomains = createHeldDomains(ctx, store, leases, {
+    onGroupWritten: (written) => {
       ctx.logger.info('group changed', {
         step: 'group',
         group: written.row.id,
@@ -121,34 +127,34 @@
       });
       if (written.gone) watches.drop(written.row);
       else watches.put(written.row, written.version);
-      news.wrote(written);
-      due.now('brief');
+      gossip.publishRow(written);
+      tasks.markDue('brief');
     },
-    reported,
-    conflicted: () => {
-      due.now('groups');
+    onReport: reported,
+    onConflict: () => {
+      tasks.markDue('groups');
     },
-    drained: (instances) => {
-      for (const instance of instances) leave(instance);
+    onDrainRequested: (instances) => {
+      for (const instance of instances) announceLeaving(instance);
     },
-    began: (domain) => {
-      briefing.one(domain);
+    onAcquired: (domain) => {
+      domainInputs.update(domain);
     },
   });
 
   const probes = createProbes(ctx, { reported, silent });
-  const demand = createDemand(ctx, probes);
-  const view = createView(ctx, watches, demand);
+  const onDemandProbes = createOnDemandProbes(ctx, probes);
+  const view = createView(ctx, watches, onDemandProbes);
   const roles = createRoles(ctx, directory, leases, watches);
-  const news = createNews(ctx, watches, {
+  const gossip = createControlGossip(ctx, watches, {
     leaving: markLeaving,
     vouched: (group, domain, until) => {
-      holders.tell(domain, { kind: 'vouched', group, until });
+      heldDomains.dispatch(domain, { kind: 'vouched', group, until });
     },
   });
 
   const plans = () => plansInForce;
-  const briefing = createBriefing({ holders, directory, watches, news, plans });
+  const domainInputs = createDomainInputs({ heldDomains, directory, watches, news: gossip, plans });
 
   const pollGroups = (): void => {
     if (scanning) return;
@@ -160,8 +166,8 @@
       (rows) => {
         scanning = false;
         watches.sync(rows, since);
-        due.now('brief');
-        due.now('roles');
+        tasks.markDue('brief');
+        tasks.markDue('roles');
       },
       (err) => {
         scanning = false;
@@ -170,89 +176,89 @@
     );
   };
 
-  const assign = (): void => {
+  const updateProbes = (): void => {
     probes.assign(roles.targets());
-    pace = paceOf(settings, {
-      probed: probes.assigned,
+    intervals = intervalsFor(settings, {
+      probedInstances: probes.assignedCount,
       peers: ctx.membership.peers().length,
-      listed: directory.instances().length,
-      grouped: watches.all().reduce((sum, { row }) => sum + row.members.length, 0),
+      listedInstances: directory.instances().length,
+      groupMembers: watches.all().reduce((sum, { row }) => sum + row.members.length, 0),
       isLister: roles.isLister(),
     });
-    view.refresh();
+    view.trackForming();
   };
 
-  const stateNews = (): void => {
+  const publishState = (): void => {
     const watched = watches.all().filter(({ id }) => roles.observes(id));
-    news.state(watched, pace.statedExtraMs);
-    for (const state of holders.all()) news.loads(state);
-    measures.add(holders.all());
+    gossip.state(watched, intervals.statementExtraMs);
+    for (const state of heldDomains.all()) gossip.loads(state);
+    shortfall.add(heldDomains.all());
   };
 
-  const onChange = (change: WatchChange): void => {
-    view.note(change);
+  const onWatchChange = (change: WatchChange): void => {
+    view.onWatchChange(change);
     if (change.kind === 'ready') return;
     const state = watches.get(change.group);
-    const isBad = state?.distrustedAt !== undefined && !state.warning;
-    if (isBad && roles.observes(change.group)) news.warn(change.group, change.epoch);
+    const shouldWarn = state?.distrustedAt !== undefined && !state.warning;
+    if (shouldWarn && roles.observes(change.group)) gossip.warn(change.group, change.epoch);
   };
 
-  /** Spread by chance, so that daemons which start or recover together don't poll in step. */
+  /** Varies an interval by ±25%: daemons that start or recover together must not poll in step. */
   const jittered = (ms: number): number => ms * (0.75 + ctx.random.next() / 2);
 
   const tick = (): void => {
     const now = clock.now();
-    due.run('list', now, jittered(pace.listMs), directory.poll);
-    due.run('leases', now, jittered(pace.leaseMs), leases.poll);
-    due.run('groups', now, jittered(pace.pollMs), pollGroups);
+    tasks.runIfDue('list', now, jittered(intervals.listMs), directory.poll);
+    tasks.runIfDue('leases', now, jittered(intervals.leaseMs), leases.poll);
+    tasks.runIfDue('groups', now, jittered(intervals.pollMs), pollGroups);
     leases.tick();
-    holders.sync();
-    due.run('roles', now, settings.stateMs, assign);
-    due.run('brief', now, settings.stateMs, briefing.all);
-    due.run('state', now, pace.stateMs, stateNews);
-    probes.tick(pace.probeMs);
-    demand.tick(watches.get);
-    holders.tick();
+    heldDomains.sync();
+    tasks.runIfDue('roles', now, settings.stateMs, updateProbes);
+    tasks.runIfDue('brief', now, settings.stateMs, domainInputs.updateAll);
+    tasks.runIfDue('state', now, intervals.statementMs, publishState);
+    probes.tick(intervals.probeMs);
+    onDemandProbes.tick(watches.get);
+    heldDomains.tick();
     watches.tick(directory.isLeaving);
   };
 
   const release = async (): Promise<void> => {
-    for (let waited = 0; waited < settings.stopMs; waited += RELEASE_LOOK_MS) {
+    for (let waited = 0; waited < settings.stopTimeoutMs; waited += RELEASE_POLL_MS) {
       leases.release();
-      holders.sync();
+      heldDomains.sync();
       if (leases.isReleased() && ctx.inFlight.size === 0) return;
-      await pause(RELEASE_LOOK_MS);
+      await pause(RELEASE_POLL_MS);
     }
   };
 
   return {
     ...view,
     start: () => {
-      subscription.add(watches.changes.subscribe(onChange));
+      subscription.add(watches.changes.subscribe(onWatchChange));
       subscription.add(
         ctx.config.changes.subscribe((config) => {
           plansInForce = plansOf(config);
-          watches.refresh();
-          briefing.all();
+          watches.rebuildEntries();
+          domainInputs.updateAll();
         }),
       );
-      news.start();
+      gossip.start();
       const ticks = options.ticks ?? interval(settings.tickMs);
       subscription.add(ticks.subscribe(tick));
       return Promise.resolve();
     },
     stop: async () => {
-      news.stop();
+      gossip.stop();
       subscription.unsubscribe();
       await release();
     },
     tick,
-    heldDomains: () => leases.domains().filter((domain) => leases.held(domain) !== undefined),
+    heldDomains: () => leases.domains().filter((domain) => leases.heldLease(domain) !== undefined),
     drainInstance: (instance) => {
       if (!directory.has(instance)) {
-        return errAsync(unknownInstance(instance));
+        return errAsync(unknownInstanceError(instance));
       }
-      leave(instance);
+      announceLeaving(instance);
       return store.markDrained(instance);
     },
     status: () =>
@@ -260,10 +266,10 @@
         leases,
         watches,
         directory,
-        held: holders.all(),
-        totals: measures.totals(),
-        pace,
-        probed: probes.assigned,
+        heldDomains: heldDomains.all(),
+        totals: shortfall.totals(),
+        pace: intervals,
+        probedInstances: probes.assignedCount,
       }),
   };
 }
--- a/src/app/control/demand.ts
+++ b/src/app/control/demand.ts
@@ -1,4 +1,4 @@
-/** Probes of groups that the request plane asks for while they may not be given requests. */
+/** Probes groups outside the regular interval, when requests need a fresh observation of them. */
 
 import type { WatchState } from '../../core/groups/watch';
 import { later } from '../../core/ids';
@@ -6,73 +6,73 @@
 import type { ControlContext } from './context';
 import type { Probes } from './probes';
 
-export interface Demand {
-  /** Probes a group now, unless it was not long ago; waits longer each time. */
+export interface OnDemandProbes {
+  /** Probes an unroutable group, with exponential backoff between probes. */
   readonly want: (state: WatchState) => void;
-  /** Probes a group that is in use and whose observations are about to go stale. */
+  /** Probes a group in use whose observations soon go stale; doesn't increase the backoff. */
   readonly renew: (state: WatchState) => void;
-  /** After evidence against a group: probes it now, and goes on until it is settled. */
-  pursue(state: WatchState): void;
-  /** Probes the groups that are pursued. */
+  /** After a failed request: probes the group now, and repeatedly until it is ready again. */
+  probeUntilReady(state: WatchState): void;
+  /** Repeats the probes that `probeUntilReady` began. */
   tick(find: (group: GroupId) => WatchState | undefined): void;
-  /** The group serves again. */
-  settled(group: GroupId): void;
-  /** Drops what is kept of groups that are gone. */
-  keep(groups: ReadonlySet<GroupId>): void;
+  /** Resets the backoff of a group that is routable again. */
+  onReady(group: GroupId): void;
+  /** Drops the backoff of all groups but these. */
+  retain(groups: ReadonlySet<GroupId>): void;
 }
 
-interface Asked {
+interface ProbeBackoff {
   readonly nextAt: MonoTime;
   readonly waitMs: number;
 }
 
-const FIRST_WAIT_MS = 250;
-const LONGEST_WAIT_MS = 5_000;
-/** How long a group is probed after evidence without being asked for. */
-const PURSUED_MS = 30_000;
+const MIN_WAIT_MS = 250;
+const MAX_WAIT_MS = 5_000;
+/** How long `probeUntilReady` repeats its probes. */
+const REPROBE_WINDOW_MS = 30_000;
 
-export function createDemand(ctx: ControlContext, probes: Probes): Demand {
-  const asked = new Map<GroupId, Asked>();
-  const pursued = new Map<GroupId, MonoTime>();
+export function createOnDemandProbes(ctx: ControlContext, probes: Probes): OnDemandProbes {
+  const backoffs = new Map<GroupId, ProbeBackoff>();
+  const reprobeUntil = new Map<GroupId, MonoTime>();
 
-  const ask = ({ id, row }: WatchState, waitMs: number): void => {
+  const probe = ({ id, row }: WatchState, waitMs: number): void => {
     const now = ctx.clock.now();
-    if (now < (asked.get(id)?.nextAt ?? now)) return;
-    if (!probes.demand(row.members)) return;
-    // Spread, so that daemons which lost the same group don't probe it in step.
-    asked.set(id, { nextAt: later(now, waitMs * (0.5 + ctx.random.next())), waitMs });
+    if (now < (backoffs.get(id)?.nextAt ?? now)) return;
+    if (!probes.probeNow(row.members)) return;
+    // Randomized, so that daemons which lost the same group don't probe it in step.
+    backoffs.set(id, { nextAt: later(now, waitMs * (0.5 + ctx.random.next())), waitMs });
   };
 
   const want = (state: WatchState): void => {
-    const before = asked.get(state.id)?.waitMs ?? FIRST_WAIT_MS / 2;
-    ask(state, Math.min(before * 2, LONGEST_WAIT_MS));
+    const previousMs = backoffs.get(state.id)?.waitMs ?? MIN_WAIT_MS / 2;
+    probe(state, Math.min(previousMs * 2, MAX_WAIT_MS));
   };
 
   return {
     want,
     renew: (state) => {
-      ask(state, FIRST_WAIT_MS);
+      probe(state, MIN_WAIT_MS);
     },
-    pursue: (state) => {
-      asked.delete(state.id);
-      pursued.set(state.id, later(ctx.clock.now(), PURSUED_MS));
+    probeUntilReady: (state) => {
+      backoffs.delete(state.id);
+      reprobeUntil.set(state.id, later(ctx.clock.now(), REPROBE_WINDOW_MS));
       want(state);
     },
     tick: (find) => {
       const now = ctx.clock.now();
-      for (const [id, until] of pursued) {
+      for (const [id, until] of reprobeUntil) {
         const state = find(id);
         if (state && now < until) want(state);
-        else pursued.delete(id);
+        else reprobeUntil.delete(id);
       }
     },
-    settled: (group) => {
-      asked.delete(group);
-      pursued.delete(group);
+    onReady: (group) => {
+      backoffs.delete(group);
+      reprobeUntil.delete(group);
     },
-    keep: (groups) => {
-      for (const id of asked.keys()) {
-        if (!groups.has(id)) asked.delete(id);
+    retain: (groups) => {
+      for (const id of backoffs.keys()) {
+        if (!groups.has(id)) backoffs.delete(id);
       }
     },
   };
--- a/src/app/control/directory.ts
+++ b/src/app/control/directory.ts
@@ -1,4 +1,4 @@
-/** The platform's instance list as last read, and who is said to be leaving. */
+/** The platform's instance list as last read, and the instances marked as leaving. */
 
 import type { InstanceInfo } from '../../core/groups/types';
 import type { DomainId, InstanceId, ZoneId } from '../../core/ids';
@@ -7,53 +7,54 @@
 import type { ControlContext } from './context';
 
 export interface Directory {
-  /** Reads the list anew; a failed read leaves what is known. */
+  /** Reads the list again; a failed read keeps the previous list. */
   readonly poll: () => void;
   /** All engine instances. */
   instances(): readonly InstanceInfo[];
   inDomain(domain: DomainId): readonly InstanceInfo[];
   domains(): ReadonlyMap<DomainId, ZoneId>;
-  /** An operator's or a peer's word. */
+  /** Marks an instance as leaving, on the request of an operator, a peer or the engine itself. */
   markLeaving(instance: InstanceId): void;
-  /** Whether it was marked, whatever the list says. */
-  isMarked(instance: InstanceId): boolean;
+  /** Whether `markLeaving` was called for it, whatever the list says. */
+  isMarkedLeaving(instance: InstanceId): boolean;
+  /** Whether it is marked or listed as leaving. */
   readonly isLeaving: (instance: InstanceId) => boolean;
   has(instance: InstanceId): boolean;
 }
 
-export function createDirectory(ctx: ControlContext, changed: () => void): Directory {
+export function createDirectory(ctx: ControlContext, onChange: () => void): Directory {
   let byId = new Map<InstanceId, InstanceInfo>();
   let byDomain = new Map<DomainId, readonly InstanceInfo[]>();
   let reading = false;
   const marked = new Set<InstanceId>();
 
-  const take = (entries: readonly InstanceEntry[]): void => {
-    const facts = entries.flatMap((entry) => factsOf(entry) ?? []);
-    byId = new Map(facts.map((one) => [one.id, one]));
-    byDomain = groupByDomain(facts);
+  const replaceList = (entries: readonly InstanceEntry[]): void => {
+    const infos = entries.flatMap((entry) => infoOf(entry) ?? []);
+    byId = new Map(infos.map((info) => [info.id, info]));
+    byDomain = groupByDomain(infos);
     for (const id of marked) {
-      // It left: should an instance of that id come again, it is a new one.
+      // It has left the list; an instance listed under that id later is a new one.
       if (!byId.has(id)) marked.delete(id);
     }
-    changed();
+    onChange();
   };
 
   return {
     poll: () => {
       if (reading) return;
       reading = true;
-      const done = () => {
+      const finish = () => {
         reading = false;
       };
       settleCall(
         ctx,
         ctx.instances.list(),
         (entries) => {
-          done();
-          take(entries);
+          finish();
+          replaceList(entries);
         },
         (err) => {
-          done();
+          finish();
           logFailure(ctx, err);
         },
       );
@@ -64,25 +65,25 @@
     markLeaving: (instance) => {
       marked.add(instance);
     },
-    isMarked: (instance) => marked.has(instance),
+    isMarkedLeaving: (instance) => marked.has(instance),
     has: (instance) => byId.has(instance),
     isLeaving: (instance) => marked.has(instance) || byId.get(instance)?.leaving === true,
   };
 }
 
-function factsOf(entry: InstanceEntry): InstanceInfo | undefined {
+function infoOf(entry: InstanceEntry): InstanceInfo | undefined {
   const { id, address, domain, zone, accelerators, checksFencing } = entry;
   if (entry.role !== 'engine' || domain === undefined) return undefined;
   const leaving = entry.state === 'leaving';
   return { id, address, domain, zone, accelerators, leaving, checksFencing };
 }
 
-function groupByDomain(facts: readonly InstanceInfo[]): Map<DomainId, InstanceInfo[]> {
+function groupByDomain(infos: readonly InstanceInfo[]): Map<DomainId, InstanceInfo[]> {
   const byDomain = new Map<DomainId, InstanceInfo[]>();
-  for (const one of facts) {
-    const list = byDomain.get(one.domain);
-    if (list) list.push(one);
-    else byDomain.set(one.domain, [one]);
+  for (const info of infos) {
+    const list = byDomain.get(info.domain);
+    if (list) list.push(info);
+    else byDomain.set(info.domain, [info]);
   }
   return byDomain;
 }
@@ -91,8 +92,8 @@
   byDomain: ReadonlyMap<DomainId, readonly InstanceInfo[]>,
 ): ReadonlyMap<DomainId, ZoneId> {
   const zones = new Map<DomainId, ZoneId>();
-  for (const [domain, facts] of byDomain) {
-    const zone = facts[0]?.zone;
+  for (const [domain, infos] of byDomain) {
+    const zone = infos[0]?.zone;
     if (zone !== undefined) zones.set(domain, zone);
   }
   return zones;
--- a/src/app/control/due.ts
+++ b/src/app/control/due.ts
@@ -1,26 +1,26 @@
-/** Work that is done again and again, each kind at its own interval. */
+/** Runs named tasks periodically, each at its own interval. */
 
 import { later } from '../../core/ids';
 import type { MonoTime } from '../../core/ids';
 
-export interface Due<K extends string> {
-  /** Runs `work` if its time has come, and sets its next time; the first call always runs. */
-  run(kind: K, now: MonoTime, everyMs: number, work: () => void): void;
-  /** Makes `kind` due at the next tick. */
-  now(kind: K): void;
+export interface PeriodicTasks<K extends string> {
+  /** Runs `work` if the task is due and schedules its next run; the first call always runs it. */
+  runIfDue(task: K, now: MonoTime, everyMs: number, work: () => void): void;
+  /** Makes the task due at the next tick. */
+  markDue(task: K): void;
 }
 
-export function createDue<K extends string>(): Due<K> {
+export function createPeriodicTasks<K extends string>(): PeriodicTasks<K> {
   const dueAt = new Map<K, MonoTime>();
   return {
-    run: (kind, now, everyMs, work) => {
-      const at = dueAt.get(kind);
+    runIfDue: (task, now, everyMs, work) => {
+      const at = dueAt.get(task);
       if (at !== undefined && now < at) return;
-      dueAt.set(kind, later(now, everyMs));
+      dueAt.set(task, later(now, everyMs));
       work();
     },
-    now: (kind) => {
-      dueAt.delete(kind);
+    markDue: (task) => {
+      dueAt.delete(task);
     },
   };
 }
--- a/src/app/control/news.ts
+++ b/src/app/control/gossip.ts
@@ -1,4 +1,4 @@
-/** What the control planes of all daemons tell each other by gossip. */
+/** Messages that the control planes of all daemons exchange by gossip. */
 
 import { Subscription } from 'rxjs';
 
@@ -9,70 +9,79 @@
 import { later } from '../../core/ids';
 import type { DomainId, Epoch, GroupId, InstanceId, MonoTime } from '../../core/ids';
 import type { GossipEntry } from '../parts';
-import { decodeLoads, decodeStated, decodeTold, decodeWarned, encode } from './codec';
-import type { StatedValue, ToldValue, WarnedValue } from './codec';
+import { decodeLoads, decodeStatement, decodeGroupRow, decodeWarning, encode } from './codec';
+import type { StatementValue, GroupRowValue, WarningValue } from './codec';
 import type { ControlContext } from './context';
-import type { WrittenGroup } from './holders';
+import type { WrittenGroup } from './held-domains';
 import type { Watches } from './watches';
 
+/** Gossip topics of the control plane. */
 export const TOPICS = {
-  /** Rows of groups as just written. */
+  /** Rows of groups, published by the holder that wrote them. */
   row: 'group-row',
-  /** Groups seen whole by an observer. */
+  /** Groups that an observer sees complete. */
   well: 'group-well',
-  /** A group no longer seen whole by an observer. */
+  /** A group that an observer no longer sees complete. */
   warning: 'group-warning',
-  /** Instances said to be leaving. */
+  /** Instances that are leaving. */
   leaving: 'instance-leaving',
-  /** Members fetching weights in a domain. */
+  /** Number of members fetching weights in a domain. */
   loads: 'domain-loads',
 } as const;
 
-const ROW_MS = 600_000;
-const WARNING_MS = 30_000;
-const LEAVING_MS = 3_600_000;
-const LOADS_MS = 10_000;
+const ROW_TTL_MS = 600_000;
+const WARNING_TTL_MS = 30_000;
+const LEAVING_TTL_MS = 3_600_000;
+const LOADS_TTL_MS = 10_000;
 
-export interface NewsHooks {
+export interface ControlGossipHooks {
   leaving(instance: InstanceId): void;
-  /** A peer sees the group whole until then. */
+  /** A peer sees the group complete; its statement is valid until then. */
   vouched(group: GroupId, domain: DomainId, until: MonoTime): void;
 }
 
-export interface News {
+export interface ControlGossip {
   start(): void;
   stop(): void;
-  wrote(group: WrittenGroup): void;
+  /** Publishes a row that this daemon wrote. */
+  publishRow(group: WrittenGroup): void;
+  /** Publishes that an instance is leaving. */
   leaving(instance: InstanceId): void;
+  /** Publishes that this daemon no longer sees the group complete. */
   warn(group: GroupId, epoch: Epoch): void;
   /**
-   * States, domain by domain, which of the watched groups this daemon itself sees whole, for as long
-   * as its probes count and `extraMs` more.
+   * Publishes, for each domain, which of the watched groups this daemon sees complete by its own
+   * probes. A statement is valid as long as those probes, plus `extraMs`.
    */
   state(watched: readonly WatchState[], extraMs: number): void;
+  /** Publishes how many members are fetching weights in a held domain. */
   loads(state: DomainState): void;
-  /** Members fetching weights in other domains. */
-  loadsElsewhere(domain: DomainId): number;
+  /** Number of members fetching weights in other domains. */
+  loadsInOtherDomains(domain: DomainId): number;
 }
 
-export function createNews(ctx: ControlContext, watches: Watches, hooks: NewsHooks): News {
+export function createControlGossip(
+  ctx: ControlContext,
+  watches: Watches,
+  hooks: ControlGossipHooks,
+): ControlGossip {
   const { gossip, clock, self } = ctx;
   const subscription = new Subscription();
   let seq = 0;
-  /** Grows also from one process to the next of the same id. */
+  /** Based on the wall clock, so that it also grows across restarts of the daemon. */
   const nextSeq = (): number => {
     seq = Math.max(seq + 1, clock.epoch());
     return seq;
   };
 
-  const publish = (topic: string, key: string, value: object, forMs: number): void => {
-    gossip.publish(topic, key, encode(value), later(clock.epoch(), forMs));
+  const publish = (topic: string, key: string, value: object, ttlMs: number): void => {
+    gossip.publish(topic, key, encode(value), later(clock.epoch(), ttlMs));
   };
 
-  const onStated = (entry: GossipEntry): void => {
-    const value = decodeStated(entry.value);
+  const onStatement = (entry: GossipEntry): void => {
+    const value = decodeStatement(entry.value);
     if (!value) return;
-    // By the receiver's own clock, and by the wall clock should the entry have been long under way.
+    // Counted on the receiver's clock, and capped by the wall clock in case delivery took long.
     const forMs = Math.min(value.forMs, entry.expiresAt - clock.epoch());
     const until = later(clock.now(), forMs);
     for (const [group, epoch] of value.groups) {
@@ -83,66 +92,66 @@
     }
   };
 
-  const onTold = ({ value }: GossipEntry): void => {
-    const told = decodeTold(value);
-    if (told?.gone === true) watches.drop(told.row);
-    else if (told) watches.put(told.row, told.version);
+  const onRow = ({ value }: GossipEntry): void => {
+    const update = decodeGroupRow(value);
+    if (update?.gone === true) watches.drop(update.row);
+    else if (update) watches.put(update.row, update.version);
   };
 
-  const onWarned = (entry: GossipEntry): void => {
-    const value = decodeWarned(entry.value);
+  const onWarning = (entry: GossipEntry): void => {
+    const value = decodeWarning(entry.value);
     const group = entry.key as GroupId;
     if (value) watches.warned(group, value.epoch, { origin: entry.origin, seq: value.seq });
   };
 
   const handlers: Readonly<Record<string, (entry: GossipEntry) => void>> = {
-    [TOPICS.row]: onTold,
-    [TOPICS.well]: onStated,
-    [TOPICS.warning]: onWarned,
+    [TOPICS.row]: onRow,
+    [TOPICS.well]: onStatement,
+    [TOPICS.warning]: onWarning,
     [TOPICS.leaving]: ({ key }) => {
       hooks.leaving(key as InstanceId);
     },
   };
 
-  const take = (entry: GossipEntry): void => {
+  const receive = (entry: GossipEntry): void => {
     if (entry.origin !== self) handlers[entry.topic]?.(entry);
   };
 
   return {
     start: () => {
-      // Rows first: statements and warnings are about groups that are known.
-      for (const topic of Object.values(TOPICS)) gossip.entries(topic).forEach(take);
-      subscription.add(gossip.received.subscribe(take));
+      // Rows first: statements and warnings apply only to known groups.
+      for (const topic of Object.values(TOPICS)) gossip.entries(topic).forEach(receive);
+      subscription.add(gossip.received.subscribe(receive));
     },
     stop: () => {
       subscription.unsubscribe();
     },
-    wrote: ({ row, version, gone }) => {
-      const value: ToldValue = { version, row, gone };
-      publish(TOPICS.row, row.id, value, ROW_MS);
+    publishRow: ({ row, version, gone }) => {
+      const value: GroupRowValue = { version, row, gone };
+      publish(TOPICS.row, row.id, value, ROW_TTL_MS);
     },
     leaving: (instance) => {
-      publish(TOPICS.leaving, instance, { instance }, LEAVING_MS);
+      publish(TOPICS.leaving, instance, { instance }, LEAVING_TTL_MS);
     },
     warn: (group, epoch) => {
-      const value: WarnedValue = { epoch, seq: nextSeq() };
-      publish(TOPICS.warning, group, value, WARNING_MS);
+      const value: WarningValue = { epoch, seq: nextSeq() };
+      publish(TOPICS.warning, group, value, WARNING_TTL_MS);
     },
     state: (watched, extraMs) => {
       nextSeq();
-      for (const [domain, groups] of wholeByDomain(watched, clock.now())) {
-        const until = Math.min(...groups.map((one) => one.until));
+      for (const [domain, groups] of completeByDomain(watched, clock.now())) {
+        const until = Math.min(...groups.map((group) => group.until));
         const forMs = until - clock.now() + extraMs;
         const ids = groups.map(({ id, epoch }) => [id, epoch] as const);
-        const value: StatedValue = { groups: ids, forMs, seq };
+        const value: StatementValue = { groups: ids, forMs, seq };
         publish(TOPICS.well, domain, value, forMs);
       }
     },
     loads: (state) => {
       const loads = countLoads(state, clock.now());
-      if (loads > 0) publish(TOPICS.loads, state.domain, { loads }, LOADS_MS);
+      if (loads > 0) publish(TOPICS.loads, state.domain, { loads }, LOADS_TTL_MS);
     },
-    loadsElsewhere: (domain) =>
+    loadsInOtherDomains: (domain) =>
       gossip
         .entries(TOPICS.loads)
         .filter(({ key }) => key !== domain)
@@ -150,17 +159,17 @@
   };
 }
 
-interface WholeGroup {
+interface CompleteGroup {
   readonly id: GroupId;
   readonly epoch: Epoch;
   readonly until: MonoTime;
 }
 
-function wholeByDomain(
+function completeByDomain(
   watched: readonly WatchState[],
   now: MonoTime,
-): ReadonlyMap<DomainId, readonly WholeGroup[]> {
-  const byDomain = new Map<DomainId, WholeGroup[]>();
+): ReadonlyMap<DomainId, readonly CompleteGroup[]> {
+  const byDomain = new Map<DomainId, CompleteGroup[]>();
   for (const state of watched) {
     const until = ownRoutableUntil(state);
     if (until === undefined || until <= now || state.leaving) continue;
--- a/src/app/control/holders.ts
+++ b/src/app/control/held-domains.ts
@@ -1,4 +1,4 @@
-/** Runs the domain reducers of the domains whose leases this daemon holds. */
+/** Runs the reducers of the domains whose leases this daemon holds. */
 
 import { createDomain, mayDecide, reduceDomain } from '../../core/groups/domain';
 import type {
@@ -11,12 +11,12 @@
 import { later } from '../../core/ids';
 import type { DomainId, InstanceId, MonoTime } from '../../core/ids';
 import type { EngineReport } from '../../core/groups/types';
-import { logFailure, settleCall, stepAt } from './context';
+import { logFailure, settleCall, stepContext } from './context';
 import type { ControlContext } from './context';
 import type { Leases } from './leases';
 import type { ControlStore } from './store';
 
-/** A group's row as this daemon just wrote it. */
+/** A group's row as this daemon just wrote it; `gone` if the group was dissolved. */
 export interface WrittenGroup {
   readonly row: GroupRow;
   readonly version: number;
@@ -24,49 +24,50 @@
   readonly reason: string;
 }
 
-export interface HolderHooks {
-  /** After a commit that is known to have taken effect. */
-  wrote(group: WrittenGroup): void;
-  /** After an answer to an order, or its failure. */
-  reported(report: EngineReport, sentAt: MonoTime): void;
-  /** A transaction lost a race: what is known of all groups is out of date. */
-  conflicted(): void;
-  /** Operators' marks found in the table. */
-  drained(instances: readonly InstanceId[]): void;
-  /** A domain's lease is held now and its state is still empty. */
-  began(domain: DomainId): void;
+export interface HeldDomainHooks {
+  /** Called for each group of a commit that is known to have taken effect. */
+  onGroupWritten(group: WrittenGroup): void;
+  /** Called with the engine's report in answer to an order. */
+  onReport(report: EngineReport, sentAt: MonoTime): void;
+  /** Called when a transaction conflicts, which means that the known group rows are stale. */
+  onConflict(): void;
+  /** Called with the instances that operators marked for draining in the table. */
+  onDrainRequested(instances: readonly InstanceId[]): void;
+  /** Called when a domain's lease is acquired, while the domain's state is still empty. */
+  onAcquired(domain: DomainId): void;
 }
 
-export interface Holders {
-  /** Follows leases that were taken or lost. */
+export interface HeldDomains {
+  /** Adds and removes domains as their leases are acquired and lost. */
   sync(): void;
-  tell(domain: DomainId, event: DomainEvent): void;
-  tellAll(event: DomainEvent): void;
+  /** Reduces an event in one domain; ignored if the domain isn't held. */
+  dispatch(domain: DomainId, event: DomainEvent): void;
+  dispatchAll(event: DomainEvent): void;
   tick(): void;
   get(domain: DomainId): DomainState | undefined;
   all(): readonly DomainState[];
 }
 
-export function createHolders(
+export function createHeldDomains(
   ctx: ControlContext,
   store: ControlStore,
   leases: Leases,
-  hooks: HolderHooks,
-): Holders {
+  hooks: HeldDomainHooks,
+): HeldDomains {
   const states = new Map<DomainId, DomainState>();
 
-  const tell = (domain: DomainId, event: DomainEvent): void => {
+  const dispatch = (domain: DomainId, event: DomainEvent): void => {
     const state = states.get(domain);
     if (!state) return;
-    const step = reduceDomain(state, event, stepAt(ctx));
+    const step = reduceDomain(state, event, stepContext(ctx));
     states.set(domain, step.state);
     for (const effect of step.effects) run[effect.kind](step.state, effect as never);
   };
 
-  /** Checked in the same tick as the order or commit goes out. */
+  /** Whether the lease still holds; checked in the same tick as an order or commit is sent. */
   const isValid = (domain: DomainId): boolean => {
     const state = states.get(domain);
-    const held = leases.held(domain);
+    const held = leases.heldLease(domain);
     return (
       held !== undefined &&
       held.fencing === state?.lease?.fencing &&
@@ -85,12 +86,12 @@
         ctx,
         store.readDomain(domain, instances),
         (rows) => {
-          tell(domain, { kind: 'read', groups: rows.groups, instances: rows.instances });
-          hooks.drained(rows.drained);
+          dispatch(domain, { kind: 'read', groups: rows.groups, instances: rows.instances });
+          hooks.onDrainRequested(rows.drained);
         },
         (err) => {
           logFailure(ctx, err);
-          tell(domain, { kind: 'read-failed' });
+          dispatch(domain, { kind: 'read-failed' });
         },
       );
     },
@@ -105,23 +106,23 @@
   const commit = (state: DomainState, tx: GroupTransaction): void => {
     const { domain } = state;
     if (!isValid(domain)) {
-      tell(domain, { kind: 'refused', id: tx.id, conflict: false });
+      dispatch(domain, { kind: 'refused', id: tx.id, conflict: false });
       return;
     }
     settleCall(
       ctx,
       store.commitGroups(domain, tx),
       (versions) => {
-        tell(domain, { kind: 'committed', id: tx.id, versions });
-        for (const written of writtenBy(state, tx, versions)) hooks.wrote(written);
+        dispatch(domain, { kind: 'committed', id: tx.id, versions });
+        for (const written of writtenGroups(state, tx, versions)) hooks.onGroupWritten(written);
       },
       (err) => {
         logFailure(ctx, err);
         const { id } = tx;
         const isUnsure = err.code === 'store-unknown';
-        if (err.code === 'conflict') hooks.conflicted();
+        if (err.code === 'conflict') hooks.onConflict();
         const refused = { kind: 'refused' as const, id, conflict: err.code === 'conflict' };
-        tell(domain, isUnsure ? { kind: 'unsure', id } : refused);
+        dispatch(domain, isUnsure ? { kind: 'unsure', id } : refused);
       },
     );
   };
@@ -139,7 +140,7 @@
       ctx,
       ctx.engine.order(address, order, by),
       (report) => {
-        if (report.instance === instance) hooks.reported(report, sentAt);
+        if (report.instance === instance) hooks.onReport(report, sentAt);
       },
       (err) => {
         logFailure(ctx, err);
@@ -147,37 +148,37 @@
     );
   };
 
-  const begin = (domain: DomainId): void => {
+  const addDomain = (domain: DomainId): void => {
     const options = { domain, settings: ctx.settings.domain };
     states.set(domain, createDomain(options, ctx.clock.now()));
-    hooks.began(domain);
+    hooks.onAcquired(domain);
   };
 
   return {
     sync: () => {
       for (const domain of leases.domains()) {
-        const lease = leases.held(domain);
-        if (!lease && states.get(domain)?.lease) tell(domain, { kind: 'unleased' });
-        // Another holds it now; a lease that only lapsed may be renewed.
+        const lease = leases.heldLease(domain);
+        if (!lease && states.get(domain)?.lease) dispatch(domain, { kind: 'unleased' });
+        // Kept while the row still names this daemon: a lapsed lease may be renewed.
         if (!lease && leases.holderOf(domain) !== ctx.self) states.delete(domain);
         if (!lease) continue;
-        if (!states.has(domain)) begin(domain);
-        tell(domain, { kind: 'leased', lease });
+        if (!states.has(domain)) addDomain(domain);
+        dispatch(domain, { kind: 'leased', lease });
       }
     },
-    tell,
-    tellAll: (event) => {
-      for (const domain of states.keys()) tell(domain, event);
+    dispatch,
+    dispatchAll: (event) => {
+      for (const domain of states.keys()) dispatch(domain, event);
     },
     tick: () => {
-      for (const domain of states.keys()) tell(domain, { kind: 'tick' });
+      for (const domain of states.keys()) dispatch(domain, { kind: 'tick' });
     },
     get: (domain) => states.get(domain),
     all: () => [...states.values()],
   };
 }
 
-function writtenBy(
+function writtenGroups(
   before: DomainState,
   tx: GroupTransaction,
   versions: Readonly<Record<string, number>>,
--- a/src/app/control/leases.ts
+++ b/src/app/control/leases.ts
@@ -4,25 +4,26 @@
 import type { DaemonId, DomainId, ZoneId } from '../../core/ids';
 import { createLease, isHolder, reduceLease } from '../../core/lease/lease';
 import type { HeldLease, LeaseEffect, LeaseEvent, LeaseState } from '../../core/lease/types';
-import { logFailure, settleCall, stepAt } from './context';
+import { logFailure, settleCall, stepContext } from './context';
 import type { ControlContext } from './context';
-import { signatureOf } from './peers';
+import { peersSignature } from './peers';
 import type { ControlStore, LeaseRows } from './store';
 
 export interface Leases {
-  /** Makes a domain known, so that its lease may be sought. */
-  know(domain: DomainId, zone?: ZoneId): void;
-  isKnown(domain: DomainId): boolean;
-  /** Reads all leases that others hold. */
+  /** Adds a domain, so that this daemon may acquire its lease. */
+  addDomain(domain: DomainId, zone?: ZoneId): void;
+  hasDomain(domain: DomainId): boolean;
+  /** Reads the lease rows of all domains. */
   readonly poll: () => void;
   tick(): void;
-  /** The lease, while this daemon may act on it. */
-  held(domain: DomainId): HeldLease | undefined;
-  /** Whoever the row names, lapsed or not. */
+  /** The lease, while this daemon validly holds it. */
+  heldLease(domain: DomainId): HeldLease | undefined;
+  /** The holder that the row names, even if its lease has lapsed. */
   holderOf(domain: DomainId): DaemonId | undefined;
   domains(): readonly DomainId[];
-  /** Hands all leases back. */
+  /** Releases all leases. */
   release(): void;
+  /** Whether no lease is held and no commit is pending. */
   isReleased(): boolean;
 }
 
@@ -35,9 +36,9 @@
   const dispatch = (domain: DomainId, event: LeaseEvent): void => {
     const state = states.get(domain);
     if (!state) return;
-    const step = reduceLease(state, event, stepAt(ctx));
+    const step = reduceLease(state, event, stepContext(ctx));
     states.set(domain, step.state);
-    logChange(ctx, state, step.state);
+    logHolderChange(ctx, state, step.state);
     for (const effect of step.effects) run[effect.kind](domain, effect as never);
   };
 
@@ -74,7 +75,7 @@
     dispatch(domain, { kind: 'read', ...(lease && { lease }), ...(fence && { fence }) });
   };
 
-  const know = (domain: DomainId, zone?: ZoneId): void => {
+  const addDomain = (domain: DomainId, zone?: ZoneId): void => {
     if (zone !== undefined) zones.set(domain, zone);
     if (states.has(domain)) return;
     const { self, session, settings } = ctx;
@@ -82,22 +83,22 @@
     states.set(domain, createLease(options, ctx.clock.now()));
   };
 
-  let rankedFor = '';
-  const rank = (): void => {
+  let rankedSignature = '';
+  const updateRanks = (): void => {
     const all = ctx.membership.peers();
-    const signature = `${states.size} ${zones.size} ${signatureOf(all)}`;
-    if (signature === rankedFor) return;
-    rankedFor = signature;
+    const signature = `${states.size} ${zones.size} ${peersSignature(all)}`;
+    if (signature === rankedSignature) return;
+    rankedSignature = signature;
     const peers = hashCandidates(all.filter((peer) => peer.state !== 'leaving'));
     for (const domain of states.keys()) {
-      const place = rankOf(`lease/${domain}`, ctx.self, peers, zones.get(domain));
-      dispatch(domain, { kind: 'ranked', rank: place });
+      const position = rankOf(`lease/${domain}`, ctx.self, peers, zones.get(domain));
+      dispatch(domain, { kind: 'ranked', rank: position });
     }
   };
 
   return {
-    know,
-    isKnown: (domain) => states.has(domain),
+    addDomain,
+    hasDomain: (domain) => states.has(domain),
     poll: () => {
       if (scanning) return;
       scanning = true;
@@ -107,7 +108,7 @@
         (scanned) => {
           scanning = false;
           const found = new Set(scanned.map(({ domain }) => domain));
-          for (const rows of scanned) know(rows.domain);
+          for (const rows of scanned) addDomain(rows.domain);
           for (const rows of scanned) onRows(rows);
           for (const domain of states.keys()) {
             if (!found.has(domain)) onRows({ domain });
@@ -120,10 +121,10 @@
       );
     },
     tick: () => {
-      rank();
+      updateRanks();
       for (const domain of states.keys()) dispatch(domain, { kind: 'tick' });
     },
-    held: (domain) => {
+    heldLease: (domain) => {
       const state = states.get(domain);
       return state && isHolder(state, ctx.clock.now()) ? state.held : undefined;
     },
@@ -139,7 +140,7 @@
   };
 }
 
-function logChange(ctx: ControlContext, before: LeaseState, after: LeaseState): void {
+function logHolderChange(ctx: ControlContext, before: LeaseState, after: LeaseState): void {
   if ((before.held === undefined) === (after.held === undefined)) return;
   const fencing = after.held?.fencing ?? before.held?.fencing;
   const message = after.held ? 'lease taken' : 'lease given up';
--- a/src/app/control/losses.ts
+++ b/src/app/control/losses.ts
@@ -1,4 +1,4 @@
-/** Tells the request plane of lost groups, and whether their whole domain fell together. */
+/** Reports lost groups to the request plane, and whether most of their domain was lost with them. */
 
 import { Subject } from 'rxjs';
 import type { Observable } from 'rxjs';
@@ -7,8 +7,10 @@
 import type { ControlContext } from './context';
 import type { WatchChange, Watches } from './watches';
 
+/** A group that stopped being routable. */
 export interface LostGroup {
   readonly group: GroupId;
+  /** Whether most groups of its domain were lost together. */
   readonly domainDark: boolean;
 }
 
@@ -22,13 +24,13 @@
   readonly at: MonoTime;
 }
 
-/** Groups of one domain lost within this time fell together. */
-const TOGETHER_MS = 5_000;
-const DARK_GROUPS = 2;
+/** Losses in one domain within this time count as one outage. */
+const CORRELATION_WINDOW_MS = 5_000;
+const MIN_OUTAGE_GROUPS = 2;
 
 /**
- * A group is told of at once. Should it turn out within a few seconds that most groups of its domain
- * fell with it, all of them are told of again, with `domainDark` set.
+ * A lost group is reported at once. If most groups of its domain are lost within a few seconds, all
+ * of them are reported again, with `domainDark` set.
  */
 export function createLosses(ctx: ControlContext, watches: Watches): Losses {
   const lost = new Subject<LostGroup>();
@@ -37,22 +39,22 @@
   const note = (change: WatchChange): void => {
     if (change.kind !== 'lost') return;
     const now = ctx.clock.now();
-    const before = (recent.get(change.domain) ?? []).filter(
-      (loss) => now - loss.at < TOGETHER_MS && loss.group !== change.group,
+    const earlier = (recent.get(change.domain) ?? []).filter(
+      (loss) => now - loss.at < CORRELATION_WINDOW_MS && loss.group !== change.group,
     );
-    const fallen = [...before, { group: change.group, at: now }];
-    recent.set(change.domain, fallen);
-    if (!isDark(change.domain, fallen)) {
+    const losses = [...earlier, { group: change.group, at: now }];
+    recent.set(change.domain, losses);
+    if (!isDomainDown(change.domain, losses)) {
       lost.next({ group: change.group, domainDark: false });
       return;
     }
-    for (const { group } of fallen) lost.next({ group, domainDark: true });
+    for (const { group } of losses) lost.next({ group, domainDark: true });
   };
 
-  const isDark = (domain: DomainId, fallen: readonly Loss[]): boolean => {
-    if (fallen.length < DARK_GROUPS) return false;
+  const isDomainDown = (domain: DomainId, losses: readonly Loss[]): boolean => {
+    if (losses.length < MIN_OUTAGE_GROUPS) return false;
     const all = watches.all().filter(({ row }) => row.domain === domain).length;
-    return fallen.length * 2 > all;
+    return losses.length * 2 > all;
   };
 
   return { note, lost };
--- a/src/app/control/peers.ts
+++ b/src/app/control/peers.ts
@@ -1,7 +1,7 @@
-/** The peers as a text that changes when one comes, goes or changes state. */
+/** A string that changes when a peer joins, leaves or changes state; used as a cache key. */
 
 import type { PeerInfo } from '../parts';
 
-export function signatureOf(peers: readonly PeerInfo[]): string {
+export function peersSignature(peers: readonly PeerInfo[]): string {
   return peers.map(({ id, state }) => `${id} ${state}`).join('\n');
 }
--- a/src/app/control/probes.ts
+++ b/src/app/control/probes.ts
@@ -1,4 +1,4 @@
-/** Probes the instances that this daemon watches, each once an interval, spread over it. */
+/** Probes the instances assigned to this daemon, each once an interval, spread over the interval. */
 
 import type { EngineReport } from '../../core/groups/types';
 import { later } from '../../core/ids';
@@ -7,19 +7,22 @@
 import { logFailure, settleCall } from './context';
 import type { ControlContext } from './context';
 
+/** Outcomes of probes; `sentAt` is when the probe was sent. */
 export interface ProbeHooks {
   reported(report: EngineReport, sentAt: MonoTime): void;
+  /** No valid answer from this instance. */
   silent(instance: InstanceId, sentAt: MonoTime): void;
 }
 
 export interface Probes {
-  /** Sets what is probed each interval. */
+  /** Sets the instances to probe each interval, with their addresses. */
   assign(targets: ReadonlyMap<InstanceId, string>): void;
-  /** Starts the probes that are due. */
+  /** Sends the probes that are due. */
   tick(probeMs: number): void;
-  /** Probes at once, within the budget of probes on demand; false when that is spent. */
-  demand(targets: readonly ProbeTarget[]): boolean;
-  readonly assigned: number;
+  /** Probes at once, within the rate limit of on-demand probes; false when that is exhausted. */
+  probeNow(targets: readonly ProbeTarget[]): boolean;
+  /** Number of instances probed each interval. */
+  readonly assignedCount: number;
 }
 
 export interface ProbeTarget {
@@ -33,35 +36,35 @@
   let assigned: ReadonlyMap<InstanceId, string> = new Map();
   const dueAt = new Map<InstanceId, MonoTime>();
   const running = new Set<InstanceId>();
-  let tokens = ctx.settings.demandPerSecond;
-  let filledAt = ctx.clock.now();
+  let tokens = ctx.settings.onDemandProbesPerSecond;
+  let refilledAt = ctx.clock.now();
 
   const probe = ({ instance, address }: ProbeTarget): void => {
     if (running.has(instance)) return;
     running.add(instance);
     const sentAt = ctx.clock.now();
-    const onSilent = (err?: StepError): void => {
+    const onNoAnswer = (err?: StepError): void => {
       running.delete(instance);
       if (err) logFailure(ctx, err);
       hooks.silent(instance, sentAt);
     };
     const onReport = (report: EngineReport): void => {
-      // Another instance has taken over the address.
+      // Another instance answers at this address now.
       if (report.instance !== instance) {
-        onSilent();
+        onNoAnswer();
         return;
       }
       running.delete(instance);
       hooks.reported(report, sentAt);
     };
-    settleCall(ctx, ctx.engine.report(address), onReport, onSilent);
+    settleCall(ctx, ctx.engine.report(address), onReport, onNoAnswer);
   };
 
   const refill = (now: MonoTime): void => {
-    const { demandPerSecond } = ctx.settings;
-    const gained = ((now - filledAt) / MS_PER_SECOND) * demandPerSecond;
-    tokens = Math.min(demandPerSecond, tokens + gained);
-    filledAt = now;
+    const { onDemandProbesPerSecond } = ctx.settings;
+    const refilled = ((now - refilledAt) / MS_PER_SECOND) * onDemandProbesPerSecond;
+    tokens = Math.min(onDemandProbesPerSecond, tokens + refilled);
+    refilledAt = now;
   };
 
   return {
@@ -74,22 +77,22 @@
     tick: (probeMs) => {
       const now = ctx.clock.now();
       for (const [instance, address] of assigned) {
-        const due = dueAt.get(instance);
-        if (due !== undefined && now < due) continue;
-        // The first one at once; then spread, so that probes don't go out in one burst.
-        const spread = due === undefined ? ctx.random.next() : 1;
-        dueAt.set(instance, later(now, probeMs * spread));
+        const nextAt = dueAt.get(instance);
+        if (nextAt !== undefined && now < nextAt) continue;
+        // A random first interval spreads the probes, so that they don't go out in one burst.
+        const fraction = nextAt === undefined ? ctx.random.next() : 1;
+        dueAt.set(instance, later(now, probeMs * fraction));
         probe({ instance, address });
       }
     },
-    demand: (targets) => {
+    probeNow: (targets) => {
       refill(ctx.clock.now());
       if (tokens < targets.length) return false;
       tokens -= targets.length;
       for (const target of targets) probe(target);
       return true;
     },
-    get assigned() {
+    get assignedCount() {
       return assigned.size;
     },
   };
--- a/src/app/control/roles.ts
+++ b/src/app/control/roles.ts
@@ -1,4 +1,7 @@
-/** Which instances this daemon probes: all of the domains it holds, and the groups it observes. */
+/**
+ * Decides which instances this daemon probes: all of the domains it holds, and the members of the
+ * groups it observes.
+ */
 
 import { hashCandidates, rankOf } from '../../core/groups/rank';
 import type { Candidates } from '../../core/groups/rank';
@@ -7,21 +10,22 @@
 import type { ControlContext } from './context';
 import type { Directory } from './directory';
 import type { Leases } from './leases';
-import { signatureOf } from './peers';
+import { peersSignature } from './peers';
 import type { Watches } from './watches';
 
 export interface Roles {
   /** Instances to probe, with their addresses. */
   targets(): ReadonlyMap<InstanceId, string>;
+  /** Whether this daemon holds the group's domain or is one of the group's observers. */
   observes(group: GroupId): boolean;
-  /** Whether this daemon reads the instance list often, for the others. */
+  /** Whether this daemon is one of the few that read the instance list often, for all. */
   isLister(): boolean;
 }
 
-/** Daemons that read the instance list at the shortest interval. */
-const LISTERS = 2;
+/** Number of daemons that read the instance list at the shortest interval. */
+const MAX_LISTERS = 2;
 
-interface Ranked {
+interface CachedRank {
   readonly peers: string;
   readonly holder: DaemonId | undefined;
   readonly observes: boolean;
@@ -33,15 +37,15 @@
   leases: Leases,
   watches: Watches,
 ): Roles {
-  // Ranking all peers for all groups is dear at size: kept until the peers or the holder change.
-  const ranked = new Map<GroupId, Ranked>();
+  // Ranking all peers for all groups is expensive: cached until the peers or the holder change.
+  const ranked = new Map<GroupId, CachedRank>();
 
-  const observes = (group: GroupId, all: Candidates<PeerInfo>, peers: string): boolean => {
+  const isObserver = (group: GroupId, all: Candidates<PeerInfo>, peers: string): boolean => {
     const watch = watches.get(group);
     if (!watch) return false;
     const holder = leases.holderOf(watch.row.domain);
-    const known = ranked.get(group);
-    if (known?.peers === peers && known.holder === holder) return known.observes;
+    const cached = ranked.get(group);
+    if (cached?.peers === peers && cached.holder === holder) return cached.observes;
     const others = all.filter(
       ({ candidate }) => candidate.id !== holder && candidate.state !== 'leaving',
     );
@@ -51,16 +55,16 @@
     return isChosen;
   };
 
-  const observesNow = (group: GroupId): boolean => {
+  const isObserverNow = (group: GroupId): boolean => {
     const peers = ctx.membership.peers();
-    return observes(group, hashCandidates(peers), signatureOf(peers));
+    return isObserver(group, hashCandidates(peers), peersSignature(peers));
   };
 
   return {
     targets: () => {
       const targets = new Map<InstanceId, string>();
       const peers = ctx.membership.peers();
-      const signature = signatureOf(peers);
+      const signature = peersSignature(peers);
       const hashed = hashCandidates(peers);
       for (const domain of leases.domains()) {
         if (leases.holderOf(domain) !== ctx.self) continue;
@@ -68,7 +72,7 @@
       }
       for (const { id, row } of watches.all()) {
         const isOwn = leases.holderOf(row.domain) === ctx.self;
-        if (!isOwn && !observes(id, hashed, signature)) continue;
+        if (!isOwn && !isObserver(id, hashed, signature)) continue;
         for (const { instance, address } of row.members) targets.set(instance, address);
       }
       for (const id of ranked.keys()) {
@@ -79,9 +83,9 @@
     observes: (group) => {
       const domain = watches.get(group)?.row.domain;
       const isOwn = domain !== undefined && leases.holderOf(domain) === ctx.self;
-      return isOwn || observesNow(group);
+      return isOwn || isObserverNow(group);
     },
     isLister: () =>
-      rankOf('instance-list', ctx.self, hashCandidates(ctx.membership.peers())) < LISTERS,
+      rankOf('instance-list', ctx.self, hashCandidates(ctx.membership.peers())) < MAX_LISTERS,
   };
 }
--- a/src/app/control/settings.ts
+++ b/src/app/control/settings.ts
@@ -1,4 +1,4 @@
-/** Settings of the control plane, and how its rates follow the size of the system. */
+/** Settings of the control plane, and its intervals, which grow with the size of the system. */
 
 import { DOMAIN_SETTINGS } from '../../core/groups/domain-types';
 import type { DomainSettings } from '../../core/groups/domain-types';
@@ -8,30 +8,30 @@
 export interface ControlSettings {
   readonly lease: LeaseSettings;
   readonly domain: DomainSettings;
-  /** How often deadlines are looked at. */
+  /** Interval at which deadlines are checked. */
   readonly tickMs: number;
-  /** Shortest time between two probes of one instance by this daemon. */
+  /** Minimum interval between probes of one instance by this daemon. */
   readonly probeMs: number;
-  /** Most bytes a second that this daemon spends on probes. */
+  /** Maximum bytes per second that this daemon spends on probes. */
   readonly probeBytesPerSecond: number;
-  /** Shortest time between two reads of all groups, and of all leases. */
+  /** Minimum interval between scans of all groups, and of all leases. */
   readonly pollMs: number;
-  /** Bytes a second that this daemon spends on reading all groups; gossip is faster. */
+  /** Maximum bytes per second for scans of all groups, which only back up the faster gossip. */
   readonly pollBytesPerSecond: number;
-  /** Scans a second that all daemons together may spend on groups, and as many on leases. */
+  /** Maximum scans of groups per second by all daemons together, and as many of leases. */
   readonly scansPerSecond: number;
-  /** Shortest time between two reads of the instance list. */
+  /** Minimum interval between reads of the instance list. */
   readonly listMs: number;
-  /** Bytes a second that this daemon spends on the instance list, unless it is a lister. */
+  /** Maximum bytes per second for the instance list, unless this daemon is a lister. */
   readonly listBytesPerSecond: number;
-  /** Shortest time between two statements that groups are well. */
+  /** Minimum interval between statements that groups are complete. */
   readonly stateMs: number;
-  /** Daemons besides the domain's holder that probe a group. */
+  /** Number of daemons besides the domain's holder that probe a group. */
   readonly observers: number;
-  /** Probes a second on the request plane's demand. */
-  readonly demandPerSecond: number;
-  /** Longest wait for leases to be handed back at stop. */
-  readonly stopMs: number;
+  /** Maximum on-demand probes per second. */
+  readonly onDemandProbesPerSecond: number;
+  /** Maximum time that a stop waits for leases to be released. */
+  readonly stopTimeoutMs: number;
 }
 
 export const CONTROL_SETTINGS: ControlSettings = {
@@ -47,16 +47,17 @@
   listBytesPerSecond: 2_000,
   stateMs: 1_000,
   observers: 1,
-  demandPerSecond: 64,
-  stopMs: 3_000,
+  onDemandProbesPerSecond: 64,
+  stopTimeoutMs: 3_000,
 };
 
-/** Any part of the settings. */
+/** Partial settings; the rest take their defaults. */
 export interface ControlOverrides extends Partial<Omit<ControlSettings, 'lease' | 'domain'>> {
   readonly lease?: Partial<LeaseSettings>;
   readonly domain?: Partial<DomainSettings>;
 }
 
+/** Fills in the defaults. */
 export function settingsFrom(overrides: ControlOverrides = {}): ControlSettings {
   return {
     ...CONTROL_SETTINGS,
@@ -66,63 +67,77 @@
   };
 }
 
-/** What one probe and its answer take on the wire, without TCP's own headers. */
+/** Bytes of one probe and its answer on the wire, without TCP headers. */
 const PROBE_BYTES = 475;
-/** One entry of the instance list, bytes. */
+/** Bytes of one entry of the instance list. */
 const LIST_ENTRY_BYTES = 150;
-/** One member's part of a group's row, the rest of the row shared out; computed for 4 members. */
+/** Bytes of a group's row divided by its members; computed for 4 members. */
 const GROUP_MEMBER_BYTES = 120;
 const MS_PER_SECOND = 1_000;
-/** Statements of a peer that cost the receivers this much time between two of them. */
-const STATE_MS_PER_PEER = 80;
-/** An observation counts for this many of the intervals that renew it. */
-const FRESH_INTERVALS = 3;
+/** Minimum interval between statements for each peer; bounds the receivers' time spent on them. */
+const STATEMENT_MS_PER_PEER = 80;
+/** Number of intervals for which an observation is valid. */
+const VALID_INTERVALS = 3;
 
-/** What the rates depend on. */
-export interface Load {
-  readonly probed: number;
+/** Counts that the intervals depend on. */
+export interface SystemSize {
+  /** Instances that this daemon probes. */
+  readonly probedInstances: number;
   readonly peers: number;
-  readonly listed: number;
-  /** Members of all groups. */
-  readonly grouped: number;
-  /** One of the few daemons that read the instance list often. */
+  readonly listedInstances: number;
+  /** Total members of all groups. */
+  readonly groupMembers: number;
+  /** Whether this daemon is one of the few that read the instance list often. */
   readonly isLister: boolean;
 }
 
-/** Before anything is known. */
-export const NO_LOAD: Load = { probed: 0, peers: 1, listed: 0, grouped: 0, isLister: true };
+/** Assumed until the first instance list and groups are read. */
+export const INITIAL_SIZE: SystemSize = {
+  probedInstances: 0,
+  peers: 1,
+  listedInstances: 0,
+  groupMembers: 0,
+  isLister: true,
+};
 
-export interface Pace {
+/** Current intervals of the control plane's periodic work, milliseconds. */
+export interface Intervals {
   readonly probeMs: number;
-  readonly stateMs: number;
-  /** How long an own probe counts. */
-  readonly freshMs: number;
-  /** How much longer a statement counts than the probes that it rests on. */
-  readonly statedExtraMs: number;
+  readonly statementMs: number;
+  /** How long an observation by this daemon's own probe is valid. */
+  readonly probeValidMs: number;
+  /** How much longer a statement is valid than the probes it is based on. */
+  readonly statementExtraMs: number;
   readonly pollMs: number;
-  /** Between two reads of all leases, on which their takeover waits. */
+  /** Between scans of all leases; the takeover of a lapsed lease waits for one. */
   readonly leaseMs: number;
   readonly listMs: number;
 }
 
-/** Intervals that keep a daemon's share of probes, scans and messages bounded at any size. */
-export function paceOf(settings: ControlSettings, load: Load): Pace {
-  const perSecond = (bytes: number, budget: number) => (bytes / budget) * MS_PER_SECOND;
-  const probing = perSecond(load.probed * PROBE_BYTES, settings.probeBytesPerSecond);
-  const probeMs = Math.max(settings.probeMs, probing);
-  const stateMs = Math.max(settings.stateMs, load.peers * STATE_MS_PER_PEER);
-  const polling = (load.peers * MS_PER_SECOND) / settings.scansPerSecond;
-  const rowBytes = load.grouped * GROUP_MEMBER_BYTES;
-  const reading = perSecond(rowBytes, settings.pollBytesPerSecond);
-  const listing = perSecond(load.listed * LIST_ENTRY_BYTES, settings.listBytesPerSecond);
+/** Computes intervals that bound a daemon's probes, scans and messages in a fleet of any size. */
+export function intervalsFor(settings: ControlSettings, size: SystemSize): Intervals {
+  const intervalMs = (bytes: number, budget: number) => (bytes / budget) * MS_PER_SECOND;
+  const probeBudgetMs = intervalMs(
+    size.probedInstances * PROBE_BYTES,
+    settings.probeBytesPerSecond,
+  );
+  const probeMs = Math.max(settings.probeMs, probeBudgetMs);
+  const statementMs = Math.max(settings.stateMs, size.peers * STATEMENT_MS_PER_PEER);
+  const scanBudgetMs = (size.peers * MS_PER_SECOND) / settings.scansPerSecond;
+  const rowBytes = size.groupMembers * GROUP_MEMBER_BYTES;
+  const readBudgetMs = intervalMs(rowBytes, settings.pollBytesPerSecond);
+  const listBudgetMs = intervalMs(
+    size.listedInstances * LIST_ENTRY_BYTES,
+    settings.listBytesPerSecond,
+  );
   return {
     probeMs,
-    stateMs,
-    freshMs: FRESH_INTERVALS * probeMs,
-    // Statements that come seldom must hold for longer.
-    statedExtraMs: (FRESH_INTERVALS - 1) * (stateMs - settings.stateMs),
-    pollMs: Math.max(settings.pollMs, polling, reading),
-    leaseMs: Math.max(settings.pollMs, polling),
-    listMs: load.isLister ? settings.listMs : Math.max(settings.listMs, listing),
+    statementMs,
+    probeValidMs: VALID_INTERVALS * probeMs,
+    // Statements that are sent less often must be valid for longer.
+    statementExtraMs: (VALID_INTERVALS - 1) * (statementMs - settings.stateMs),
+    pollMs: Math.max(settings.pollMs, scanBudgetMs, readBudgetMs),
+    leaseMs: Math.max(settings.pollMs, scanBudgetMs),
+    listMs: size.isLister ? settings.listMs : Math.max(settings.listMs, listBudgetMs),
   };
 }
--- a/src/app/control/setup.ts
+++ b/src/app/control/setup.ts
@@ -1,4 +1,4 @@
-/** What a control plane starts from. */
+/** Builds what the control plane starts from: its context, model plans and errors. */
 
 import { planFor } from '../../core/groups/policies';
 import type { ModelPlan } from '../../core/groups/domain-types';
@@ -13,21 +13,23 @@
 const SESSION_RANGE = 0x7fff_ffff;
 const SESSION_RADIX = 36;
 
-export function contextOf({ settings, ...deps }: ControlDeps): ControlContext {
-  const draw = () => Math.floor(deps.random.next() * SESSION_RANGE).toString(SESSION_RADIX);
-  // The start time too: two processes may have been given the same seed.
-  const session = `${deps.clock.epoch().toString(SESSION_RADIX)}-${draw()}${draw()}`;
+/** Fills in the settings and chooses a session id, unique to this process. */
+export function createContext({ settings, ...deps }: ControlDeps): ControlContext {
+  const randomPart = () => Math.floor(deps.random.next() * SESSION_RANGE).toString(SESSION_RADIX);
+  // Includes the start time, because two processes may use the same random seed.
+  const session = `${deps.clock.epoch().toString(SESSION_RADIX)}-${randomPart()}${randomPart()}`;
   return { ...deps, settings: settingsFrom(settings), session, inFlight: createInFlight() };
 }
 
+/** A plan for each configured model. */
 export function plansOf({ models }: Config): Readonly<Record<ModelId, ModelPlan>> {
   const plans: Record<ModelId, ModelPlan> = {};
   for (const spec of Object.values(models)) plans[spec.id] = planFor(spec);
   return plans;
 }
 
-export function unknownInstance(instance: InstanceId): StepError {
-  return fail('not-found', 'no such instance in the platform list', {
+export function unknownInstanceError(instance: InstanceId): StepError {
+  return fail('not-found', 'instance is not in the platform list', {
     step: 'drain-instance',
     peer: instance,
   });
--- a/src/app/control/measures.ts
+++ b/src/app/control/shortfall-metrics.ts
@@ -1,4 +1,4 @@
-/** Keeps the running totals of downtime and stranded accelerators, and hands them to the metrics. */
+/** Keeps running totals of downtime and stranded accelerators, and exports them as metrics. */
 
 import { ZERO_TOTALS, addShortfall, shortfallOf } from '../../core/groups/shortfall';
 import type { Shortfall, ShortfallTotals } from '../../core/groups/shortfall';
@@ -6,8 +6,8 @@
 import type { ModelId, MonoTime } from '../../core/ids';
 import type { ControlContext } from './context';
 
-export interface Measures {
-  /** Adds what the held domains lacked since the last call. */
+export interface ShortfallMetrics {
+  /** Adds the shortfall of the held domains over the time since the last call. */
   add(held: readonly DomainState[]): void;
   totals(): ShortfallTotals;
 }
@@ -16,38 +16,43 @@
 const STRANDED = 'nutmegstack_stranded_accelerator_seconds_total';
 const MS_PER_SECOND = 1_000;
 
-export function createMeasures(ctx: ControlContext): Measures {
+export function createShortfallMetrics(ctx: ControlContext): ShortfallMetrics {
   let totals = ZERO_TOTALS;
-  let last: MonoTime | undefined;
+  let lastAt: MonoTime | undefined;
   return {
     add: (held) => {
       const now = ctx.clock.now();
-      const ms = last === undefined ? 0 : now - last;
-      last = now;
+      const ms = lastAt === undefined ? 0 : now - lastAt;
+      lastAt = now;
       for (const state of held) {
-        const short = shortfallOf(state, now);
-        totals = addShortfall(totals, short, ms);
-        count(ctx, short, ms / MS_PER_SECOND);
+        const shortfall = shortfallOf(state, now);
+        totals = addShortfall(totals, shortfall, ms);
+        countShortfall(ctx, shortfall, ms / MS_PER_SECOND);
       }
     },
     totals: () => totals,
   };
 }
 
-function count(ctx: ControlContext, short: Shortfall, seconds: number): void {
+function countShortfall(ctx: ControlContext, shortfall: Shortfall, seconds: number): void {
   const { metrics } = ctx;
   if (!metrics) return;
-  for (const [model, groups] of Object.entries(short.down)) {
-    countShared(ctx, DOWNTIME, model as ModelId, groups * seconds);
+  for (const [model, groups] of Object.entries(shortfall.down)) {
+    countByOrganisation(ctx, DOWNTIME, model as ModelId, groups * seconds);
   }
-  for (const [model, accelerators] of Object.entries(short.stranded)) {
-    countShared(ctx, STRANDED, model as ModelId, accelerators * seconds);
+  for (const [model, accelerators] of Object.entries(shortfall.stranded)) {
+    countByOrganisation(ctx, STRANDED, model as ModelId, accelerators * seconds);
   }
-  metrics.count(STRANDED, { model: '', organisation: '' }, short.unassigned * seconds);
+  metrics.count(STRANDED, { model: '', organisation: '' }, shortfall.unassigned * seconds);
 }
 
-/** Each organisation bears the share of a model's replicas that it asked for. */
-function countShared(ctx: ControlContext, name: string, model: ModelId, amount: number): void {
+/** Splits an amount among organisations by their share of the model's configured replicas. */
+function countByOrganisation(
+  ctx: ControlContext,
+  name: string,
+  model: ModelId,
+  amount: number,
+): void {
   const { organisations, models } = ctx.config.current();
   const replicas = models[model]?.replicas ?? 0;
   if (replicas === 0) {
--- a/src/app/control/status.ts
+++ b/src/app/control/status.ts
@@ -1,4 +1,4 @@
-/** What `status` shows of the control plane. */
+/** The control plane's section of `GET /admin/v1/status`. */
 
 import { routableUntil } from '../../core/groups/watch';
 import type { ShortfallTotals } from '../../core/groups/shortfall';
@@ -7,17 +7,17 @@
 import type { ControlContext } from './context';
 import type { Directory } from './directory';
 import type { Leases } from './leases';
-import type { Pace } from './settings';
+import type { Intervals } from './settings';
 import type { Watches } from './watches';
 
 export interface StatusSources {
   readonly leases: Leases;
   readonly watches: Watches;
   readonly directory: Directory;
-  readonly held: readonly DomainState[];
+  readonly heldDomains: readonly DomainState[];
   readonly totals: ShortfallTotals;
-  readonly pace: Pace;
-  readonly probed: number;
+  readonly pace: Intervals;
+  readonly probedInstances: number;
 }
 
 export function statusOf(ctx: ControlContext, from: StatusSources): Json {
@@ -36,10 +36,10 @@
     leases: leases.domains().map((domain) => ({
       domain,
       holder: leases.holderOf(domain) ?? null,
-      held: leases.held(domain) !== undefined,
-      fencing: leases.held(domain)?.fencing ?? null,
+      held: leases.heldLease(domain) !== undefined,
+      fencing: leases.heldLease(domain)?.fencing ?? null,
     })),
-    domains: from.held.map((state) => ({
+    domains: from.heldDomains.map((state) => ({
       domain: state.domain,
       dark: state.darkSince !== undefined,
       openSlots: state.openSlots.length,
@@ -51,6 +51,6 @@
       strandedAcceleratorSeconds: { ...totals.stranded },
       unassignedAcceleratorSeconds: totals.unassigned,
     },
-    probes: { instances: from.probed, everyMs: Math.round(pace.probeMs) },
+    probes: { instances: from.probedInstances, everyMs: Math.round(pace.probeMs) },
   };
 }
--- a/src/app/control/store.ts
+++ b/src/app/control/store.ts
@@ -1,4 +1,4 @@
-/** The rows of the control plane in the table service. */
+/** Reads and commits the control plane's rows in the table service. */
 
 import { okAsync } from 'neverthrow';
 import type { ResultAsync } from 'neverthrow';
@@ -10,22 +10,31 @@
 import type { FenceRow, LeaseEffect, LeaseRow } from '../../core/lease/types';
 import type { Condition, Row, Table, Write } from '../../ports/platform';
 import type { StepError } from '../../utils/errors';
-import { decodeFence, decodeGroup, decodeInstance, decodeLease, encode, versioned } from './codec';
+import {
+  decodeFence,
+  decodeGroup,
+  decodeInstance,
+  decodeLease,
+  encode,
+  decodeVersioned,
+} from './codec';
 
 const LEASE_PREFIX = 'lease/';
 const FENCE_SUFFIX = '#fence';
 const DRAIN_PREFIX = 'drain/';
 
+/** A domain's lease row and fence row, where they exist. */
 export interface LeaseRows {
   readonly domain: DomainId;
   readonly lease?: Versioned<LeaseRow>;
   readonly fence?: Versioned<FenceRow>;
 }
 
-/** All that the holder of a domain reads when it begins. */
+/** Rows that the holder of a domain reads once it has acquired the lease. */
 export interface DomainRows {
   readonly groups: readonly Versioned<GroupRow>[];
   readonly instances: readonly Versioned<InstanceRow>[];
+  /** Instances that operators marked for draining. */
   readonly drained: readonly InstanceId[];
 }
 
@@ -46,10 +55,12 @@
     domain: DomainId,
     instances: readonly InstanceId[],
   ): ResultAsync<DomainRows, StepError>;
+  /** Commits on condition that the domain's fence row is unchanged; returns the new versions by key. */
   commitGroups(
     domain: DomainId,
     tx: GroupTransaction,
   ): ResultAsync<Readonly<Record<string, number>>, StepError>;
+  /** Records an operator's request to drain an instance. */
   markDrained(instance: InstanceId): ResultAsync<void, StepError>;
 }
 
@@ -61,7 +72,7 @@
   return `${leaseKey(domain)}${FENCE_SUFFIX}`;
 }
 
-/** All rows below a prefix, page by page. */
+/** All rows whose keys begin with `prefix`, read page by page. */
 function scanAll(
   table: Table,
   prefix: string,
@@ -69,13 +80,13 @@
 ): ResultAsync<readonly Row[], StepError> {
   return table.scan(prefix, after).andThen((page) => {
     if (page.after === undefined) return okAsync(page.rows);
-    return scanAll(table, prefix, page.after).map((rest) => [...page.rows, ...rest]);
+    return scanAll(table, prefix, page.after).map((others) => [...page.rows, ...others]);
   });
 }
 
 function leaseRows(domain: DomainId, rows: ReadonlyMap<string, Row>): LeaseRows {
-  const lease = versioned(rows.get(leaseKey(domain)), decodeLease);
-  const fence = versioned(rows.get(fenceKey(domain)), decodeFence);
+  const lease = decodeVersioned(rows.get(leaseKey(domain)), decodeLease);
+  const fence = decodeVersioned(rows.get(fenceKey(domain)), decodeFence);
   return { domain, ...(lease && { lease }), ...(fence && { fence }) };
 }
 
@@ -84,14 +95,14 @@
 }
 
 function groupRows(rows: readonly Row[]): readonly Versioned<GroupRow>[] {
-  return rows.flatMap((row) => versioned(row, decodeGroup) ?? []);
+  return rows.flatMap((row) => decodeVersioned(row, decodeGroup) ?? []);
 }
 
-function noInstanceRow(instance: InstanceId): Versioned<InstanceRow> {
+function emptyInstanceRow(instance: InstanceId): Versioned<InstanceRow> {
   return { version: 0, row: { instance, epoch: 0 as Epoch, fencing: 0 as FencingNumber } };
 }
 
-function writeOf(write: GroupWrite): Write {
+function toWrite(write: GroupWrite): Write {
   const key = keyOf(write);
   return write.row ? { key, value: encode(write.row) } : { key };
 }
@@ -128,7 +139,7 @@
         version === undefined ? [] : [{ key: keyOf(write), version }],
       );
       const fence = { key: fenceKey(domain), version: tx.fenceVersion };
-      const writes = tx.writes.map(({ write }) => writeOf(write));
+      const writes = tx.writes.map(({ write }) => toWrite(write));
       return table
         .commit({ conditions: [fence, ...guarded], writes })
         .map(({ versions }) => versions);
@@ -153,13 +164,14 @@
     const members = groups.flatMap(({ row }) => row.members.map((member) => member.instance));
     const ids = [...new Set([...instances, ...members])];
     const keys = ids.flatMap((id) => [instanceKey(id), `${DRAIN_PREFIX}${id}`]);
-    const reading = keys.length === 0 ? okAsync([]) : table.read(keys);
-    return reading.map((rows) => {
+    const read = keys.length === 0 ? okAsync([]) : table.read(keys);
+    return read.map((rows) => {
       const keyed = byKey(rows);
       return {
         groups,
         instances: ids.map(
-          (id) => versioned(keyed.get(instanceKey(id)), decodeInstance) ?? noInstanceRow(id),
+          (id) =>
+            decodeVersioned(keyed.get(instanceKey(id)), decodeInstance) ?? emptyInstanceRow(id),
         ),
         drained: ids.filter((id) => keyed.has(`${DRAIN_PREFIX}${id}`)),
       };
--- a/src/app/control/view.ts
+++ b/src/app/control/view.ts
@@ -1,4 +1,4 @@
-/** Where model requests may go, as the request plane asks and is told. */
+/** The request plane's view of groups: which are routable, expected soon, or lost. */
 
 import {
   NO_FORMING_ESTIMATES,
@@ -10,57 +10,61 @@
 import { later } from '../../core/ids';
 import type { GroupView } from '../parts';
 import type { ControlContext } from './context';
-import type { Demand } from './demand';
+import type { OnDemandProbes } from './demand';
 import { createLosses } from './losses';
 import { routableNow } from './watches';
 import type { WatchChange, Watches } from './watches';
 
-/** A probe on demand should be answered within this time. */
-const PROBE_MS = 100;
+/** Time within which an on-demand probe is expected to be answered. */
+const EXPECTED_PROBE_MS = 100;
 
 export interface View extends GroupView {
-  /** A group became routable or ceased to be. */
-  note(change: WatchChange): void;
-  /** Looks at which groups are forming. */
-  refresh(): void;
+  /** Handles a group that became or stopped being routable. */
+  onWatchChange(change: WatchChange): void;
+  /** Updates the forming estimates and drops the probe backoff of removed groups. */
+  trackForming(): void;
 }
 
-export function createView(ctx: ControlContext, watches: Watches, demand: Demand): View {
+export function createView(
+  ctx: ControlContext,
+  watches: Watches,
+  onDemandProbes: OnDemandProbes,
+): View {
   const { clock } = ctx;
   const losses = createLosses(ctx, watches);
-  let expectations = NO_FORMING_ESTIMATES;
+  let estimates = NO_FORMING_ESTIMATES;
   return {
     routable: (model) =>
       routableNow(watches.ofModel(model), clock.now(), {
-        missing: demand.want,
-        expiring: demand.renew,
+        missing: onDemandProbes.want,
+        expiring: onDemandProbes.renew,
       }),
     expectedAt: (model) => {
       const now = clock.now();
       for (const { state } of watches.ofModel(model)) {
-        if (isAwaitingProbe(state, now)) return later(clock.epoch(), PROBE_MS);
+        if (isAwaitingProbe(state, now)) return later(clock.epoch(), EXPECTED_PROBE_MS);
       }
-      const at = estimateReadyAt(expectations, model, now);
+      const at = estimateReadyAt(estimates, model, now);
       return at && later(clock.epoch(), at - now);
     },
     report: ({ group, epoch, kind }) => {
-      // A full group refuses too; that says nothing of its members.
+      // A full group refuses as well, so a refusal is no evidence about its members.
       if (kind === 'refused') return;
       watches.evidence(group, epoch);
       const state = watches.get(group);
-      if (state) demand.pursue(state);
+      if (state) onDemandProbes.probeUntilReady(state);
     },
     lost: losses.lost,
-    note: (change) => {
+    onWatchChange: (change) => {
       losses.note(change);
       if (change.kind !== 'ready') return;
-      expectations = recordFormingTime(expectations, change.group, clock.now());
-      demand.settled(change.group);
+      estimates = recordFormingTime(estimates, change.group, clock.now());
+      onDemandProbes.onReady(change.group);
     },
-    refresh: () => {
+    trackForming: () => {
       const rows = watches.all().map(({ row }) => row);
-      expectations = trackForming(expectations, rows, clock.now());
-      demand.keep(new Set(rows.map(({ id }) => id)));
+      estimates = trackForming(estimates, rows, clock.now());
+      onDemandProbes.retain(new Set(rows.map(({ id }) => id)));
     },
   };
 }
--- a/src/app/control/watches.ts
+++ b/src/app/control/watches.ts
@@ -1,4 +1,4 @@
-/** Runs the watch reducers of all groups: which may be given requests now. */
+/** Runs the watch reducers of all groups, which determine the groups that are routable. */
 
 import { Subject } from 'rxjs';
 import type { Observable } from 'rxjs';
@@ -8,10 +8,10 @@
 import type { Statement, StatementSource, WatchEvent, WatchState } from '../../core/groups/watch';
 import { later } from '../../core/ids';
 import type { DomainId, Epoch, GroupId, InstanceId, ModelId, MonoTime } from '../../core/ids';
-import { stepAt } from './context';
+import { stepContext } from './context';
 import type { ControlContext } from './context';
 
-/** A group that became routable or ceased to be. */
+/** A group that became (`ready`) or stopped being (`lost`) routable. */
 export interface WatchChange {
   readonly group: GroupId;
   readonly domain: DomainId;
@@ -20,109 +20,114 @@
 }
 
 export interface Watches {
-  /** All groups as read from the table, by a scan that began at `since`. */
+  /** Applies a scan of all groups in the table that began at `since`. */
   sync(rows: readonly Versioned<GroupRow>[], since: MonoTime): void;
-  /** One group's row, as its holder wrote it. */
+  /** Adds or updates one group by its row. */
   put(row: GroupRow, version: number): void;
-  /** A group that was dissolved. */
+  /** Removes a dissolved group. */
   drop(row: GroupRow): void;
+  /** Applies an engine's report, valid until `freshUntil`. */
   reported(report: EngineReport, sentAt: MonoTime, freshUntil: MonoTime): void;
+  /** Applies a probe without an answer. */
   silent(instance: InstanceId, sentAt: MonoTime): void;
+  /** Applies a peer's statement that a group is complete. */
   stated(group: GroupId, statement: Statement): void;
+  /** Applies a peer's warning that a group is not complete. */
   warned(group: GroupId, epoch: Epoch, by: StatementSource): void;
+  /** Applies a failed request, which makes the group unroutable until a fresh probe. */
   evidence(group: GroupId, epoch: Epoch): void;
   tick(isLeaving: (instance: InstanceId) => boolean): void;
-  /** Takes over the sizes of batches after a change of the configuration. */
-  refresh(): void;
+  /** Applies the batch sizes of a changed configuration. */
+  rebuildEntries(): void;
   all(): readonly WatchState[];
   readonly get: (group: GroupId) => WatchState | undefined;
   until(group: GroupId): MonoTime | undefined;
-  /** Groups of one model, routable or not. */
+  /** All groups of one model, routable or not. */
   ofModel(model: ModelId): Iterable<WatchEntry>;
   readonly changes: Observable<WatchChange>;
 }
 
-/** A group with what the request plane needs of it, made anew at each change. */
+/** A group with what the request plane needs of it, replaced at each change. */
 export interface WatchEntry {
   readonly state: WatchState;
-  /** Absent while the group may not be given requests. */
+  /** Absent while the group is not routable. */
   readonly routable?: RoutableGroup;
 }
 
-/** Longer than any gossip of a dissolved group's row may take to arrive. */
-const GONE_MS = 60_000;
+/** How long a dissolved group is remembered; exceeds the delay of any gossip of its row. */
+const DISSOLVED_RETENTION_MS = 60_000;
 
-/** When all groups of a model have no longer than this to go, they are probed. */
+/** A model's groups are probed once none of them stays routable for longer than this. */
 const RENEW_BEFORE_MS = 1_000;
 
-/** What becomes of groups that a choice passes over, or soon will. */
-export interface ChoiceHooks {
+/** Called for groups that are not routable, or soon won't be. */
+export interface RoutableHooks {
   readonly missing: (state: WatchState) => void;
   readonly expiring: (state: WatchState) => void;
 }
 
-/** Chooses among the entries of a model: no work but two comparisons for each. */
+/** The routable groups among a model's entries, at the cost of two comparisons for each entry. */
 export function routableNow(
   entries: Iterable<WatchEntry>,
   now: MonoTime,
-  { missing, expiring }: ChoiceHooks,
+  { missing, expiring }: RoutableHooks,
 ): readonly RoutableGroup[] {
   const groups: RoutableGroup[] = [];
-  const ending: WatchState[] = [];
+  const expiringStates: WatchState[] = [];
   for (const { state, routable } of entries) {
     if (!routable || now >= routable.routableUntil) {
       missing(state);
       continue;
     }
     groups.push(routable);
-    if (routable.routableUntil - now < RENEW_BEFORE_MS) ending.push(state);
+    if (routable.routableUntil - now < RENEW_BEFORE_MS) expiringStates.push(state);
   }
-  // While others stay fresh, requests go on to them; probes are counted.
-  if (ending.length === groups.length) ending.forEach(expiring);
+  // No probes while some group stays fresh and takes the requests: probes are rate-limited.
+  if (expiringStates.length === groups.length) expiringStates.forEach(expiring);
   return groups;
 }
 
 export function createWatches(ctx: ControlContext): Watches {
   const states = new Map<GroupId, WatchState>();
-  /** The request plane asks for each request: nothing is worked out there. */
+  /** Precomputed, because the request plane reads them on every request. */
   const entries = new Map<ModelId, Map<GroupId, WatchEntry>>();
   const addedAt = new Map<GroupId, MonoTime>();
-  const goneUntil = new Map<GroupId, MonoTime>();
-  const holding = new Map<InstanceId, Set<GroupId>>();
+  const dissolvedUntil = new Map<GroupId, MonoTime>();
+  const groupsByInstance = new Map<InstanceId, Set<GroupId>>();
   const changes = new Subject<WatchChange>();
 
-  const index = (state: WatchState): void => {
+  const indexMembers = (state: WatchState): void => {
     for (const { instance } of state.row.members) {
-      const groups = holding.get(instance) ?? new Set();
-      holding.set(instance, groups.add(state.id));
+      const groups = groupsByInstance.get(instance) ?? new Set();
+      groupsByInstance.set(instance, groups.add(state.id));
     }
   };
 
-  const unindex = (state: WatchState): void => {
+  const unindexMembers = (state: WatchState): void => {
     for (const { instance } of state.row.members) {
-      const groups = holding.get(instance);
+      const groups = groupsByInstance.get(instance);
       groups?.delete(state.id);
-      if (groups?.size === 0) holding.delete(instance);
+      if (groups?.size === 0) groupsByInstance.delete(instance);
     }
   };
 
-  const enter = (state: WatchState): void => {
+  const updateEntry = (state: WatchState): void => {
     const { model } = state.row;
     const ofModel = entries.get(model) ?? new Map<GroupId, WatchEntry>();
     const maxBatch = ctx.config.current().models[model]?.maxBatch ?? 1;
     entries.set(model, ofModel.set(state.id, entryOf(state, maxBatch, ctx.clock.now())));
   };
 
-  const tell = (group: GroupId, event: WatchEvent): void => {
+  const dispatch = (group: GroupId, event: WatchEvent): void => {
     const before = states.get(group);
     if (!before) return;
-    const { state, effects } = reduceWatch(before, event, stepAt(ctx));
+    const { state, effects } = reduceWatch(before, event, stepContext(ctx));
     if (state.row !== before.row) {
-      unindex(before);
-      index(state);
+      unindexMembers(before);
+      indexMembers(state);
     }
     states.set(group, state);
-    if (state !== before) enter(state);
+    if (state !== before) updateEntry(state);
     for (const { kind } of effects) emit(state, kind);
   };
 
@@ -132,28 +137,28 @@
 
   const put = (row: GroupRow, version: number): void => {
     if (states.has(row.id)) {
-      tell(row.id, { kind: 'row', row, version });
+      dispatch(row.id, { kind: 'row', row, version });
       return;
     }
-    if (goneUntil.has(row.id)) return;
+    if (dissolvedUntil.has(row.id)) return;
     const state = createWatch(row, version);
     states.set(row.id, state);
     addedAt.set(row.id, ctx.clock.now());
-    index(state);
-    enter(state);
+    indexMembers(state);
+    updateEntry(state);
   };
 
-  const forget = (state: WatchState): void => {
+  const remove = (state: WatchState): void => {
     states.delete(state.id);
     addedAt.delete(state.id);
     entries.get(state.row.model)?.delete(state.id);
-    unindex(state);
+    unindexMembers(state);
     if (state.routable) emit(state, 'lost');
   };
 
-  const forgetGone = (now: MonoTime): void => {
-    for (const [id, until] of goneUntil) {
-      if (now >= until) goneUntil.delete(id);
+  const expireDissolved = (now: MonoTime): void => {
+    for (const [id, until] of dissolvedUntil) {
+      if (now >= until) dissolvedUntil.delete(id);
     }
   };
 
@@ -162,46 +167,46 @@
       const present = new Set(rows.map(({ row }) => row.id));
       for (const { row, version } of rows) put(row, version);
       for (const state of states.values()) {
-        // One that became known after the scan began may just not have been seen by it.
+        // A group added after the scan began may be missing from its result.
         const isNewer = (addedAt.get(state.id) ?? since) > since;
-        if (!present.has(state.id) && !isNewer) forget(state);
+        if (!present.has(state.id) && !isNewer) remove(state);
       }
     },
     put,
     drop: (row) => {
       const state = states.get(row.id);
-      goneUntil.set(row.id, later(ctx.clock.now(), GONE_MS));
-      if (state) forget(state);
+      dissolvedUntil.set(row.id, later(ctx.clock.now(), DISSOLVED_RETENTION_MS));
+      if (state) remove(state);
     },
     reported: (report, sentAt, freshUntil) => {
-      for (const group of holding.get(report.instance) ?? []) {
-        tell(group, { kind: 'reported', report, sentAt, freshUntil });
+      for (const group of groupsByInstance.get(report.instance) ?? []) {
+        dispatch(group, { kind: 'reported', report, sentAt, freshUntil });
       }
     },
     silent: (instance, sentAt) => {
-      for (const group of holding.get(instance) ?? []) {
-        tell(group, { kind: 'silent', instance, sentAt });
+      for (const group of groupsByInstance.get(instance) ?? []) {
+        dispatch(group, { kind: 'silent', instance, sentAt });
       }
     },
     stated: (group, statement) => {
-      tell(group, { kind: 'stated', statement });
+      dispatch(group, { kind: 'stated', statement });
     },
     warned: (group, epoch, by) => {
-      tell(group, { kind: 'warned', epoch, by });
+      dispatch(group, { kind: 'warned', epoch, by });
     },
     evidence: (group, epoch) => {
-      tell(group, { kind: 'evidence', epoch });
+      dispatch(group, { kind: 'evidence', epoch });
     },
     tick: (isLeaving) => {
-      forgetGone(ctx.clock.now());
+      expireDissolved(ctx.clock.now());
       for (const state of states.values()) {
         const leaving = state.row.members.some(({ instance }) => isLeaving(instance));
-        if (leaving !== state.leaving) tell(state.id, { kind: 'leaving', leaving });
-        else if (state.routable) tell(state.id, { kind: 'tick' });
+        if (leaving !== state.leaving) dispatch(state.id, { kind: 'leaving', leaving });
+        else if (state.routable) dispatch(state.id, { kind: 'tick' });
       }
     },
-    refresh: () => {
-      states.forEach(enter);
+    rebuildEntries: () => {
+      states.forEach(updateEntry);
     },
     all: () => [...states.values()],
     get: (group) => states.get(group),
@@ -214,13 +219,13 @@
   };
 }
 
-/** The group as the request plane sees it. */
+/** The entry of a group; `routable` is set while the group may receive requests. */
 export function entryOf(state: WatchState, maxBatch: number, now: MonoTime): WatchEntry {
   const until = routableUntil(state, now);
   const first = state.row.members[0];
   if (until === undefined || !first) return { state };
   const { id, model, domain, epoch, members } = state.row;
   const { address } = first;
-  const fixed = { id, model, domain, epoch, address, members, maxBatch };
-  return { state, routable: { ...fixed, routableUntil: until } };
+  const group = { id, model, domain, epoch, address, members, maxBatch };
+  return { state, routable: { ...group, routableUntil: until } };
 }
--- a/tests/control-news.test.ts
+++ b/tests/control-gossip.test.ts
@@ -1,8 +1,8 @@
 import { NEVER } from 'rxjs';
 import { describe, expect, it } from 'vitest';
 
-import { createNews } from '../src/app/control/news';
-import { contextOf } from '../src/app/control/setup';
+import { createControlGossip } from '../src/app/control/gossip';
+import { createContext } from '../src/app/control/setup';
 import { createWatches } from '../src/app/control/watches';
 import { createWatch, reduceWatch } from '../src/core/groups/watch';
 import type { WatchState } from '../src/core/groups/watch';
@@ -24,7 +24,7 @@
   readonly value: unknown;
 }
 
-function newsOf() {
+function createTestGossip() {
   const published: Published[] = [];
   const gossip = {
     publish: (topic: string, _key: string, value: unknown) => {
@@ -34,20 +34,20 @@
     entries: () => [],
   };
   const clock = { now: () => 1_000 as MonoTime, epoch: () => 5_000_000 as EpochTime };
-  const ctx = contextOf({ self: 'a', gossip, clock, random: createRandom(1) } as never);
+  const ctx = createContext({ self: 'a', gossip, clock, random: createRandom(1) } as never);
   const hooks = { leaving: () => undefined, vouched: () => undefined };
-  return { news: createNews(ctx, createWatches(ctx), hooks), published };
+  return { news: createControlGossip(ctx, createWatches(ctx), hooks), published };
 }
 
 const NOW = { now: 1_000 as MonoTime };
 
-function statedOnly(): WatchState {
+function withPeerStatement(): WatchState {
   const by = { origin: 'p' as never, seq: 1 };
   const statement = { epoch: 1 as never, until: 4_000 as MonoTime, by };
   return reduceWatch(createWatch(ROW, 1), { kind: 'stated', statement }, NOW).state;
 }
 
-function probed(): WatchState {
+function withProbeReport(): WatchState {
   const report = { instance: 'x', state: 'serving', group: 'g', epoch: 1, leaving: false };
   const event = { kind: 'reported', report, sentAt: 900, freshUntil: 3_900 };
   return reduceWatch(createWatch(ROW, 1), event as never, NOW).state;
@@ -55,19 +55,19 @@
 
 describe('statements that groups are well', () => {
   it('rest on own probes alone, never on what a peer stated', () => {
-    const { news, published } = newsOf();
-    news.state([statedOnly()], 0);
+    const { news, published } = createTestGossip();
+    news.state([withPeerStatement()], 0);
     expect(published).toEqual([]);
   });
 
   it('hold for no longer than the probes that they rest on', () => {
-    const { news, published } = newsOf();
-    news.state([probed()], 0);
+    const { news, published } = createTestGossip();
+    news.state([withProbeReport()], 0);
     expect(published).toMatchObject([{ value: { groups: [['g', 1]], forMs: 2_900 } }]);
   });
 
   it('are numbered so that a restarted daemon goes on above its earlier ones', () => {
-    const { news, published } = newsOf();
+    const { news, published } = createTestGossip();
     news.warn('g' as never, 1 as never);
     news.warn('g' as never, 1 as never);
     expect(published).toMatchObject([{ value: { seq: 5_000_000 } }, { value: { seq: 5_000_001 } }]);
--- a/tests/support/config-daemons.ts
+++ b/tests/support/config-daemons.ts
@@ -28,7 +28,7 @@
   stop(): Promise<void>;
 }
 
-const QUICK: Partial<ConfigSettings> = { pollMs: 20, submitMs: 300 };
+const FAST_SETTINGS: Partial<ConfigSettings> = { pollMs: 20, submitTimeoutMs: 300 };
 
 function logTo(alarms: string[]): Logger {
   const ignore = (): void => undefined;
@@ -55,7 +55,7 @@
       clock: createClock(),
       random: createRandom(started.length),
       logger: logTo(alarms),
-      settings: { ...QUICK, ...settings },
+      settings: { ...FAST_SETTINGS, ...settings },
     });
     started.push(config);
     return { config, faults: client.faults, alarms };
--- a/tests/support/control-engine.ts
+++ b/tests/support/control-engine.ts
@@ -118,7 +118,7 @@
     }
     return 'done';
   }
-  if (order.kind !== 'join') return end(engine, order, now);
+  if (order.kind !== 'join') return drainOrRelease(engine, order, now);
   const isOther = engine.group !== undefined && engine.group !== order.group;
   if (isOther && engine.checksFencing) return 'other-group';
   if (engine.group === order.group && (engine.epoch ?? 0) > order.epoch) return 'stale-epoch';
@@ -148,7 +148,7 @@
   engine.loading = { model: order.model, until: by.loadedAt };
 }
 
-function end(
+function drainOrRelease(
   engine: FakeEngine,
   order: Extract<PlannedOrder, { kind: 'drain' | 'release' }>,
   now: number,
@@ -177,10 +177,10 @@
     engine.loading = undefined;
     if (engine.group !== undefined && engine.rank !== 0) engine.state = 'serving';
   }
-  if (engine.rank === 0 && engine.group !== undefined) watchOthers(engine, all);
+  if (engine.rank === 0 && engine.group !== undefined) updateGroupState(engine, all);
 }
 
-function watchOthers(engine: FakeEngine, all: ReadonlyMap<string, FakeEngine>): void {
+function updateGroupState(engine: FakeEngine, all: ReadonlyMap<string, FakeEngine>): void {
   const { group, epoch, model, state } = engine;
   if (group === undefined || epoch === undefined || model === undefined) return;
   const others = engine.members.filter((id) => id !== engine.id).map((id) => all.get(id));
--- a/tests/support/fake-hub.ts
+++ b/tests/support/fake-hub.ts
@@ -28,7 +28,7 @@
   tamper: (entry: GossipEntry) => GossipEntry;
 }
 
-interface Line {
+interface Connection {
   readonly member: HubMember;
   readonly entries: Subject<GossipEntry>;
   readonly messages: Subject<DirectMessage>;
@@ -36,7 +36,7 @@
 }
 
 export function createFakeHub(): FakeHub {
-  const lines = new Map<string, Line>();
+  const lines = new Map<string, Connection>();
   const published: GossipEntry[] = [];
   let counter = 0;
 
