--- a/eslint.config.js
+++ b/eslint.config.js
@@ -20,7 +20,7 @@
   {
     files: ['src/core/**/*.ts'],
     rules: {
-      // The core decides from its arguments alone: no clock, no chance, no I/O.
+      // The core decides from its arguments alone: no clock, no randomness, no I/O.
       'no-restricted-properties': [
         'error',
         { object: 'Date', property: 'now' },
