--- a/src/ports/engine.ts
+++ b/src/ports/engine.ts
@@ -1,4 +1,4 @@
-/** Model engines: orders and reports. Requests to engines go through the HTTP upstream. */
+/** Control interface of model engines: orders and reports. Inference requests use the HTTP upstream. */
 
 import type { ResultAsync } from 'neverthrow';
 
@@ -16,7 +16,7 @@
   readonly members: readonly Member[];
 }
 
-/** Take no new request; finish those in flight. */
+/** Accept no new requests; finish those in flight. */
 export interface DrainOrder {
   readonly kind: 'drain';
   readonly group: GroupId;
@@ -38,17 +38,17 @@
 
 export type EngineOrder = JoinOrder | DrainOrder | ReleaseOrder | PreloadOrder;
 
-/** What gives an order its authority. */
+/** The lease in whose name an order is sent. */
 export interface OrderAuthority {
   readonly domain: DomainId;
   readonly fencing: FencingNumber;
-  /** An engine that looks at it refuses the order after this instant. */
+  /** Engines that check it refuse the order after this time. */
   readonly deadline: EpochTime;
 }
 
 /**
- * Errors: `conflict` (old fencing number or other epoch: refused), `unavailable` (not reached),
- * `store-unknown` never; `backend-lost` (the order may have taken effect).
+ * Client of an engine. Errors: `conflict` (refused: stale fencing number or another epoch), `unavailable` (not
+ * reached), `backend-lost` (the order may have taken effect); never `store-unknown`.
  */
 export interface Engine {
   report(address: string): ResultAsync<EngineReport, StepError>;
--- a/src/ports/gateway.ts
+++ b/src/ports/gateway.ts
@@ -1,4 +1,4 @@
-/** What the gateway needs of the platform it runs on, and of the wire to callers and servers. */
+/** Interfaces of the gateway to its platform, and to the wire protocol of callers and servers. */
 
 import type { IncomingHttpHeaders } from 'node:http';
 import type { ResultAsync } from 'neverthrow';
@@ -11,27 +11,27 @@
 import type { StepError } from '../utils/errors';
 import type { Committed, Row, Transaction } from './platform';
 
-/** One entry of a collection; `value` is left out once the entry is gone. */
+/** A changed entry of a collection; `value` is absent if the entry was removed. */
 export interface Change<T> {
   readonly key: string;
   readonly value?: T;
 }
 
-/** Entries as of one point in the history of the platform's store. */
+/** Changes up to one position in the history of the platform's store. */
 export interface Changes<T> {
   readonly changes: readonly Change<T>[];
   readonly position: StorePosition;
 }
 
 /**
- * A collection that the platform keeps and reports changes of.
+ * A collection in the platform's store, with a change feed.
  *
- * Errors: `store-unavailable`; `history-gone` from `poll`, also where the store has begun another era since
- * `position`, after which the collection is loaded anew.
+ * Errors: `store-unavailable`; `history-gone` from `poll`, also if the store has begun another era since
+ * `position`: the caller then reloads the collection.
  */
 export interface Feed<T> {
   readonly name: string;
-  /** The whole collection. */
+  /** Loads the complete collection. */
   load(): ResultAsync<Changes<T>, StepError>;
   /** Waits up to `waitMs` for changes after `position`; fails at once when `signal` aborts. */
   poll(
@@ -41,27 +41,27 @@
   ): ResultAsync<Changes<T>, StepError>;
 }
 
-/** Rows of the product's own, as of one era of the store. */
+/** The gateway's own rows, with the era of the store in which they were read. */
 export interface EraRows {
   readonly era: StoreEra;
   readonly rows: readonly Row[];
 }
 
 /**
- * The product's own rows in a store that may come back from an older copy. Versions of rows hold in the era
- * in which they were read. Errors as for `Table`.
+ * The gateway's own rows in a store that may be restored from an older copy. A row version is valid only in
+ * the era in which it was read. Errors as for `Table`.
  */
 export interface EraTable {
-  /** The rows whose keys begin so. */
+  /** Reads the rows whose keys start with `prefix`. */
   read(prefix: string): ResultAsync<EraRows, StepError>;
   commit(transaction: Transaction): ResultAsync<Committed, StepError>;
 }
 
-/** What a daemon enters of itself where the others find it. */
+/** A daemon's registration, by which the others find it. */
 export interface DaemonEntry {
-  /** `host:port` for its peers. */
+  /** `host:port` at which peers connect. */
   readonly address: string;
-  /** Processor cores that it may use. */
+  /** CPU cores that it may use; may be fractional. */
   readonly cores: number;
 }
 
@@ -70,35 +70,35 @@
   /** The operator's configuration, a collection of one entry. */
   readonly config: Feed<GatewayConfig>;
   readonly servers: Feed<BackendServer>;
-  /** Daemons, entered by themselves. */
+  /** Daemons, which register themselves. */
   readonly daemons: Feed<DaemonEntry>;
 }
 
-/** What a server reports of itself when asked. */
+/** A server's response to a status request. */
 export interface ServerReport {
   readonly state: Pick<BackendServer, 'staged' | 'domain' | 'model' | 'membership'>;
   readonly running: number;
   readonly waiting: number;
-  /** Above 1: so many times slower than usual. */
+  /** Slowdown factor; 1 is normal speed. */
   readonly slowdown: number;
 }
 
-/** The head of an answer to an order or a question. */
+/** Parsed headers of a response to an order or a status request. */
 export interface ServerHead {
   readonly server: InstanceId;
   readonly facts: AnswerFacts;
 }
 
-/** Orders and questions to backend servers. */
+/** Sends orders and status requests to backend servers. */
 export interface Servers {
-  /** Of each answer of the server that was meant. */
+  /** Headers of each response, unless another server or a restarted one answered. */
   readonly heads: Observable<ServerHead>;
-  /** Never fails: an order without an answer has the result `unknown`. */
+  /** Never rejects: without a response the result is `unknown`, or `not-sent` if nothing was sent. */
   order(server: BackendServer, order: ServerOrder): Promise<OrderResult>;
   report(server: BackendServer, timeoutMs: number): ResultAsync<ServerReport, StepError>;
 }
 
-/** What the headers of a caller's request say. */
+/** Facts from the headers of a caller's request. */
 export interface CallFacts {
   readonly requestId?: string;
   /** How long the caller will wait, milliseconds. */
@@ -107,13 +107,14 @@
   readonly model?: ModelId;
   readonly promptTokens: number;
   readonly maxOutputTokens: number;
-  /** The caller has the stream's events up to this one. */
+  /** Last event of the stream that the caller has received, for resuming. */
   readonly lastEventId?: string;
 }
 
-/** What is told to a backend server beside the caller's own headers. */
+/** Facts that the gateway adds to the headers of a forwarded request. */
 export interface ForwardFacts {
   readonly server: ServerName;
+  /** Time until the request's deadline, milliseconds. */
   readonly leftMs: number;
   readonly bodyBytes?: number;
   readonly organisation?: OrganisationId;
@@ -122,38 +123,38 @@
   readonly priority?: number;
 }
 
-/** What the head of a backend server's answer says. */
+/** Facts from the status and headers of a backend server's response. */
 export interface AnswerFacts {
   readonly requestId?: string;
   readonly isSigned: boolean;
-  /** The server's own word that the request did not run. */
+  /** The server states that the request was not executed. */
   readonly isNotExecuted: boolean;
-  /** Another server answered than the one that was meant: what the head says of the server is of that one. */
+  /** Another server than the intended one answered: the other facts describe that server. */
   readonly isOfOther: boolean;
-  /** The server that kept the request from running, where another one is named. */
+  /** The server at fault for the request not running, if the response names another one. */
   readonly faultAt?: InstanceId;
-  /** Requests a second that the server takes from all daemons together. */
+  /** The server's rate limit across all daemons, requests per second. */
   readonly limitPerS?: number;
-  /** The server turned the request away and wants nothing from this daemon for so long, milliseconds. */
+  /** Backoff after a 503 (`Retry-After`): how long to send the server nothing, milliseconds. */
   readonly restMs?: number;
-  /** The server says that it leaves: it wants nothing new in this life. */
+  /** The server is shutting down and takes no new requests until it has restarted. */
   readonly isLeaving: boolean;
-  /** What the server says of itself and can't be understood. */
+  /** Headers about the server's own state that could not be parsed. */
   readonly unreadable: readonly Unreadable[];
 }
 
-/** A header that can't be understood, with its value, cut where it is long. */
+/** A malformed header: name and value, truncated if long. */
 export interface Unreadable {
   readonly about: 'limit' | 'rest' | 'leaving';
   readonly header: string;
 }
 
-/** The headers of callers and backend servers. Lists of headers alternate names and values. */
+/** Translates headers of callers and backend servers. Raw headers alternate names and values, as in Node. */
 export interface Dialect {
   readCall(headers: IncomingHttpHeaders): CallFacts;
   readAnswer(status: number, headers: IncomingHttpHeaders): AnswerFacts;
-  /** The caller's headers as they are passed on. */
+  /** Headers of the request to the backend server. */
   forward(rawHeaders: readonly string[], facts: ForwardFacts): string[];
-  /** A server's headers as they are passed back, without those of the connection and of its framing. */
+  /** Headers of the response to the caller, without hop-by-hop and framing headers. */
   reply(rawHeaders: readonly string[]): string[];
 }
--- a/src/ports/peers.ts
+++ b/src/ports/peers.ts
@@ -1,17 +1,18 @@
-/** Links to the other daemons: framed messages over TCP, at most once, unordered across peers. */
+/** Messaging between daemons: framed messages over TCP, delivered at most once, unordered across peers. */
 
 import type { Observable } from 'rxjs';
 
 import type { DaemonId } from '../core/ids';
 
-/** A message with the daemon that sent it. */
+/** A received message and its sender. */
 export interface Received<M> {
   readonly from: DaemonId;
   readonly message: M;
 }
 
+/** Sends messages of type `M` to other daemons and receives theirs. */
 export interface Peers<M> {
-  /** Sends if a link is up or can be made; false when it was dropped at once. */
+  /** Sends over an open link, or queues while one is opened; false if the message was dropped at once. */
   send(address: string, message: M): boolean;
   readonly received: Observable<Received<M>>;
 }
--- a/src/ports/platform.ts
+++ b/src/ports/platform.ts
@@ -1,4 +1,4 @@
-/** The platform's services, as the core's adapters see them. */
+/** Interfaces to the platform's services: table service, object store and instance list. */
 
 import type { ResultAsync } from 'neverthrow';
 
@@ -8,7 +8,7 @@
 
 export type { Json } from '../core/json';
 
-/** One row of the table service. Versions grow with each write of the row. */
+/** A row of the table service. Its version increases with each write. */
 export interface Row {
   readonly key: string;
   readonly version: number;
@@ -21,25 +21,27 @@
   readonly version: number;
 }
 
-/** A row to put, or to delete where `value` is left out. */
+/** A row to put, or to delete if `value` is absent. */
 export interface Write {
   readonly key: string;
   readonly value?: Json;
 }
 
+/** Writes that commit atomically if all conditions hold. */
 export interface Transaction {
   readonly conditions: readonly Condition[];
   readonly writes: readonly Write[];
 }
 
-/** Versions after the commit, by key of each row put. */
+/** Versions after the commit, by key, of the rows put. */
 export interface Committed {
   readonly versions: Readonly<Record<string, number>>;
 }
 
+/** One page of a scan. */
 export interface ScanPage {
   readonly rows: readonly Row[];
-  /** Where to go on; absent at the end. */
+  /** Continuation key for the next page; absent on the last one. */
   readonly after?: string;
 }
 
@@ -62,10 +64,10 @@
   remove(key: string): ResultAsync<void, StepError>;
 }
 
-/** One entry of the platform's instance list, which lags. */
+/** An entry of the platform's instance list, which may be out of date. */
 export interface InstanceEntry {
   readonly id: InstanceId;
-  /** `engine`: one member of replica groups; `daemon`: one of ours. */
+  /** `engine`: a possible member of replica groups; `daemon`: a nutmegstack daemon. */
   readonly role: 'engine' | 'daemon';
   /** `host:port`; the engine's HTTP address or the daemon's peer address. */
   readonly address: string;
@@ -78,7 +80,7 @@
   readonly checksFencing: boolean;
 }
 
-/** The lagging list of live and leaving instances. */
+/** The eventually consistent list of live and leaving instances. */
 export interface InstanceList {
   list(): ResultAsync<readonly InstanceEntry[], StepError>;
 }
--- a/src/ports/runtime.ts
+++ b/src/ports/runtime.ts
@@ -1,4 +1,4 @@
-/** The process's surroundings: clocks, chance and logs. */
+/** Interfaces to the process's runtime: clocks, randomness and logging. */
 
 import type { EpochTime, MonoTime } from '../core/ids';
 
@@ -9,13 +9,13 @@
   epoch(): EpochTime;
 }
 
-/** A seeded source of chance. */
+/** A seeded random number generator. */
 export interface Random {
   /** A number in [0, 1). */
   next(): number;
 }
 
-/** What every log line may carry. Never a prompt, an answer or a key. */
+/** Structured fields of a log line. Never contain a prompt, an answer or a key. */
 export interface LogFields {
   readonly requestId?: string;
   readonly organisation?: string;
--- a/src/ports/telemetry.ts
+++ b/src/ports/telemetry.ts
@@ -1,6 +1,6 @@
-/** Metrics and traces, as the parts of a daemon use them. */
+/** Interfaces for metrics and tracing. */
 
-/** Labels of a metric. Never an organisation's data; organisation names only where listed in docs. */
+/** Metric labels. Never contain an organisation's data; its name only where the docs list it. */
 export type Labels = Readonly<Record<string, string>>;
 
 export interface Metrics {
@@ -10,21 +10,22 @@
   gauge(name: string, value: number, labels?: Labels): void;
   /** Records a latency, milliseconds. */
   observe(name: string, ms: number, labels?: Labels): void;
-  /** The Prometheus text format. */
+  /** Renders all metrics in the Prometheus text format. */
   render(): Promise<string>;
 }
 
-/** One hop of a request. */
+/** A span of a trace: one hop of a request. */
 export interface Span {
-  /** What to send on as the `traceparent` header. */
+  /** Value of the `traceparent` header for outgoing requests. */
   readonly traceparent: string;
   set(attribute: string, value: string | number | boolean): void;
-  /** Starts a span below this one. */
+  /** Starts a child span. */
   child(name: string): Span;
+  /** Ends the span, with status ERROR if `error` is given. */
   end(error?: string): void;
 }
 
 export interface Tracer {
-  /** Starts a span, below the caller's where a valid `traceparent` came in. */
+  /** Starts a span: a child of the caller's if `traceparent` is valid, else a root. */
   start(name: string, traceparent?: string): Span;
 }
--- a/src/utils/address.ts
+++ b/src/utils/address.ts
@@ -1,11 +1,11 @@
-/** Addresses as settings and rows write them. */
+/** Parses the `host:port` addresses of settings and rows. */
 
 export interface HostPort {
   readonly host: string;
   readonly port: number;
 }
 
-/** Takes `host:port` apart; IPv6 hosts stand in brackets. */
+/** Splits `host:port`; IPv6 hosts are in brackets. Does not validate. */
 export function parseAddress(address: string): HostPort {
   const colon = address.lastIndexOf(':');
   const host = address.slice(0, colon).replace(/^\[|\]$/g, '');
--- a/src/utils/errors.ts
+++ b/src/utils/errors.ts
@@ -1,6 +1,6 @@
-/** Every error of the project: one table of codes, one helper that makes them. */
+/** Error codes, and the error class that all parts use. */
 
-/** Codes with the HTTP status that a caller or operator sees. */
+/** HTTP status of each code, as a caller or operator sees it. */
 export const ERROR_STATUS = {
   'bad-request': 400,
   unauthorized: 401,
@@ -33,16 +33,16 @@
 
 export type ErrorCode = keyof typeof ERROR_STATUS;
 
-/** Where an error arose. */
+/** Where an error occurred. */
 export interface ErrorOrigin {
-  /** The step being done, for instance `claim`, `send` or `first-byte`. */
+  /** The step that failed, for instance `claim`, `send` or `first-byte`. */
   readonly step: string;
-  /** The other side of that step: an address or an id. */
+  /** The remote side of that step: an address or an id. */
   readonly peer?: string;
   readonly cause?: unknown;
 }
 
-/** An error that carries the step and the peer at which it arose. */
+/** An error with its code, and the step and peer at which it occurred. */
 export class StepError extends Error {
   readonly code: ErrorCode;
   readonly step: string;
@@ -57,7 +57,7 @@
   }
 }
 
-/** Makes an error; the only place that does. */
+/** Creates a `StepError`. Use this instead of the constructor. */
 export function fail(code: ErrorCode, message: string, origin: ErrorOrigin): StepError {
   return new StepError(code, message, origin);
 }
--- a/src/utils/is.ts
+++ b/src/utils/is.ts
@@ -1,4 +1,4 @@
-/** Small predicates. */
+/** Type guards. */
 
 export function isDefined<T>(value: T | undefined | null): value is T {
   return value !== undefined && value !== null;
--- a/src/utils/pause.ts
+++ b/src/utils/pause.ts
@@ -1,6 +1,4 @@
-/** Waiting. */
-
-/** Resolves after `ms`; keeps the process alive meanwhile. */
+/** Resolves after `ms` milliseconds; the timer keeps the process alive. */
 export function pause(ms: number): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, ms));
 }
--- a/src/utils/timeout.ts
+++ b/src/utils/timeout.ts
@@ -1,13 +1,13 @@
-/** Time limits on I/O that hold also in a process that is short of processor time. */
+/** I/O timeouts that stay accurate when the event loop is delayed. */
 
 export interface Timeout {
   clear(): void;
 }
 
 /**
- * Calls `onTimeout` after `ms`, unless I/O that is ready by then clears it. In a process that was held
- * up timers are run before the answers that arrived meanwhile are read: the limit would blame the other
- * side for this one's delay.
+ * Calls `onTimeout` after `ms` milliseconds, unless I/O that is ready by then clears it. After an event loop
+ * delay, Node runs timers before it reads responses that have already arrived, so a plain timer would blame
+ * the peer for this process's delay.
  */
 export function createTimeout(ms: number, onTimeout: () => void): Timeout {
   let immediate: NodeJS.Immediate | undefined;
