--- a/src/adapters/engine.ts
+++ b/src/adapters/engine.ts
@@ -1,4 +1,4 @@
-/** The engine port over HTTP: `GET /status` and `POST /orders`. */
+/** HTTP client for the engine port: `GET /status` and `POST /orders`. */
 
 import { Agent, request } from 'node:http';
 import type { IncomingMessage } from 'node:http';
@@ -12,18 +12,18 @@
 import type { StepError } from '../utils/errors';
 
 export interface EngineOptions {
-  /** Longest wait for the whole answer, milliseconds. */
+  /** Timeout for the complete response, milliseconds. */
   readonly timeoutMs?: number;
-  /** Connections kept open for further probes. */
+  /** Maximum number of idle connections per engine, reused by later probes. */
   readonly maxIdle?: number;
 }
 
-/** Many times what a report takes: an engine cannot fill this process's memory. */
+/** Many times the size of a report; keeps an engine from exhausting this process's memory. */
 const MAX_BODY_BYTES = 64 * 1024;
 const STATUS_OK = 200;
 const STATUS_CONFLICT = 409;
 
-const REPORT = z.object({
+const reportSchema = z.object({
   instance: z.string(),
   incarnation: z.string(),
   state: z.enum(['idle', 'loading', 'serving', 'draining', 'broken']),
@@ -51,7 +51,7 @@
   readonly text: string;
 }
 
-/** An engine client. Errors as {@link Engine} lists them. */
+/** Creates an engine client. Errors as listed for {@link Engine}. */
 export function createEngine(options: EngineOptions = {}): Engine & { close(): void } {
   const { timeoutMs = 1_000, maxIdle = 256 } = options;
   const agent = new Agent({ keepAlive: true, maxFreeSockets: maxIdle });
@@ -59,7 +59,7 @@
   return {
     report: (address) =>
       call({ step: 'probe', method: 'GET', address, path: '/status' }).andThen((answer) =>
-        reportOf(answer, 'probe', address),
+        parseReport(answer, 'probe', address),
       ),
     order: (address, order, by) => {
       const body = JSON.stringify({ order, by } satisfies OrderBody);
@@ -70,7 +70,7 @@
         path: '/orders',
         body,
       };
-      return call(spec).andThen((answer) => reportOf(answer, spec.step, address));
+      return call(spec).andThen((answer) => parseReport(answer, spec.step, address));
     },
     close: () => {
       agent.destroy();
@@ -83,19 +83,21 @@
   readonly by: OrderAuthority;
 }
 
-function reportOf(answer: Answer, step: string, peer: string): Result<EngineReport, StepError> {
+function parseReport(answer: Answer, step: string, peer: string): Result<EngineReport, StepError> {
   if (answer.status === STATUS_CONFLICT) {
     return err(
       fail('conflict', `refused by the engine: ${answer.text.slice(0, 200)}`, { step, peer }),
     );
   }
   if (answer.status !== STATUS_OK) {
-    return err(fail('unavailable', `engine answered ${answer.status}`, { step, peer }));
+    return err(
+      fail('unavailable', `engine responded with status ${answer.status}`, { step, peer }),
+    );
   }
-  const parsed = REPORT.safeParse(parseJson(answer.text));
+  const parsed = reportSchema.safeParse(parseJson(answer.text));
   if (!parsed.success) {
     return err(
-      fail('bad-answer', 'engine sent no valid report', { step, peer, cause: parsed.error }),
+      fail('bad-answer', 'engine sent an invalid report', { step, peer, cause: parsed.error }),
     );
   }
   return ok(parsed.data as unknown as EngineReport);
@@ -109,11 +111,11 @@
   }
 }
 
-/** A GET that fails did nothing; a POST may have taken effect unless never connected. */
+/** A failed POST may have taken effect, unless it never connected; a failed GET has no effect. */
 function send(spec: Call, agent: Agent, timeoutMs: number): ResultAsync<Answer, StepError> {
   const { step, address: peer } = spec;
   const url = urlOf(spec);
-  if (!url) return errAsync(fail('unavailable', 'not an address', { step, peer }));
+  if (!url) return errAsync(fail('unavailable', 'invalid engine address', { step, peer }));
   let connected = false;
   const answer = new Promise<Answer>((resolve, reject) => {
     const req = request(url, {
@@ -136,7 +138,7 @@
   });
   return ResultAsync.fromPromise(answer, (cause) => {
     const isLost = connected && spec.method === 'POST';
-    return fail(isLost ? 'backend-lost' : 'unavailable', 'engine not reached', {
+    return fail(isLost ? 'backend-lost' : 'unavailable', 'no response from the engine', {
       step,
       peer,
       cause,
@@ -159,7 +161,7 @@
     bytes += chunk.length;
     if (bytes > MAX_BODY_BYTES) {
       res.destroy();
-      throw fail('bad-answer', 'report too large', { step: 'probe' });
+      throw fail('bad-answer', 'report exceeds the size limit', { step: 'probe' });
     }
     chunks.push(chunk);
   }
--- a/src/adapters/http-call.ts
+++ b/src/adapters/http-call.ts
@@ -1,4 +1,4 @@
-/** One small HTTP exchange by Node's client: a body out, a whole body back. For control, not for callers. */
+/** Minimal HTTP client for control traffic, with buffered bodies. Callers' requests use the upstream. */
 
 import { request } from 'node:http';
 import type { Agent, IncomingHttpHeaders } from 'node:http';
@@ -7,7 +7,7 @@
 import { parseAddress } from '../utils/address';
 import { createTimeout } from '../utils/timeout';
 
-/** What is asked of which address. */
+/** One request. */
 export interface HttpCall {
   readonly agent: Agent;
   /** `host:port`. */
@@ -17,11 +17,11 @@
   readonly body?: Uint8Array;
   readonly contentType?: string;
   readonly headers?: Readonly<Record<string, string>>;
-  /** After this many milliseconds the call is given up and its connection destroyed. */
+  /** Timeout, milliseconds; the connection is then destroyed. */
   readonly timeoutMs: number;
-  /** The same happens when it aborts. */
+  /** Aborts the call and destroys its connection. */
   readonly signal?: AbortSignal;
-  /** Answers longer than this are given up, bytes. */
+  /** Maximum response body size, bytes. */
   readonly maxBytes?: number;
 }
 
@@ -31,9 +31,9 @@
   readonly body: Buffer;
 }
 
-/** Why there is no answer. */
+/** A call without a complete response. */
 export interface HttpFailure {
-  /** False only where it is certain that the other side never saw the call. */
+  /** False only if the peer certainly never received the request. */
   readonly maybeSent: boolean;
   readonly cause: Error;
 }
@@ -63,24 +63,24 @@
       headers,
       ...(call.signal && { signal: call.signal }),
     });
-    const limit = createTimeout(call.timeoutMs, () => req.destroy(new Error('timed out')));
-    const settle = (err: Error): void => {
+    const limit = createTimeout(call.timeoutMs, () => req.destroy(new Error('call timed out')));
+    const onError = (err: Error): void => {
       limit.clear();
       reject(err);
     };
-    req.on('error', settle);
+    req.on('error', onError);
     req.on('response', (res) => {
       const chunks: Buffer[] = [];
       let bytes = 0;
       res.on('data', (chunk: Buffer) => {
         bytes += chunk.byteLength;
         if (bytes > (call.maxBytes ?? DEFAULT_MAX_BYTES)) {
-          req.destroy(new Error('answer too long'));
+          req.destroy(new Error('response body exceeds the size limit'));
           return;
         }
         chunks.push(chunk);
       });
-      res.on('error', settle);
+      res.on('error', onError);
       res.on('end', () => {
         limit.clear();
         resolve({
@@ -94,7 +94,7 @@
   });
 }
 
-/** Sends one call. */
+/** Sends one request and buffers the response. */
 export function callHttp(call: HttpCall): ResultAsync<HttpReply, HttpFailure> {
   return ResultAsync.fromPromise(exchange(call), (err) =>
     toFailure(err instanceof Error ? err : new Error(String(err))),
--- a/src/adapters/peers/backoff.ts
+++ b/src/adapters/peers/backoff.ts
@@ -1,15 +1,17 @@
-/** When an address may be dialled again: growing delays with jitter. */
+/** Exponential backoff with jitter for dialling peers. */
 
 import type { MonoTime } from '../../core/ids';
 import { later } from '../../core/ids';
 import type { Clock, Random } from '../../ports/runtime';
 
+/** Delays after the first failure and at most. */
 export interface BackoffLimits {
   readonly firstMs: number;
   readonly longestMs: number;
 }
 
 export interface Backoff {
+  /** Whether the backoff of the address has expired. */
   mayDial(address: string): boolean;
   noteFailure(address: string): void;
   noteSuccess(address: string): void;
@@ -20,6 +22,7 @@
   readonly notBefore: MonoTime;
 }
 
+/** Creates the backoff state of all addresses. */
 export function createBackoff(limits: BackoffLimits, clock: Clock, random: Random): Backoff {
   const failures = new Map<string, Failures>();
   return {
--- a/src/adapters/peers/codec.ts
+++ b/src/adapters/peers/codec.ts
@@ -1,10 +1,10 @@
-/** CBOR frames on a byte stream; CBOR items delimit themselves. */
+/** CBOR frames on a byte stream; CBOR items are self-delimiting. */
 
 import { DecoderStream, Encoder, setSizeLimits } from 'cbor-x';
 
-/** Largest frame: a whole configuration document fits. */
+/** Maximum frame size; fits a complete configuration document. */
 export const MAX_FRAME_BYTES = 2_000_000;
-/** Elements of one array or map; a short header cannot make the decoder allocate more. */
+/** Maximum elements per array or map, so that a short header cannot cause a huge allocation. */
 const MAX_ELEMENTS = 100_000;
 
 setSizeLimits({
@@ -19,7 +19,7 @@
   return encoder.encode(frame);
 }
 
-/** Bytes in, frames out; fails on a frame that is damaged or too large. */
+/** A transform stream from bytes to frames; errors on an invalid or too large frame. */
 export function createFrameDecoder(maxFrameBytes = MAX_FRAME_BYTES): DecoderStream {
   return new DecoderStream({ useRecords: false, maxIncompleteBufferSize: maxFrameBytes });
 }
--- a/src/adapters/peers/handshake.ts
+++ b/src/adapters/peers/handshake.ts
@@ -1,7 +1,7 @@
 /**
- * How two daemons prove to each other that they know the shared secret: each answers the other's
- * nonce with an HMAC over both nonces, both names and its own role, so that an answer serves for
- * one link and one direction alone. The daemon that was dialled proves itself last.
+ * Mutual authentication of two daemons by a shared secret. Each side answers the other's nonce with an HMAC
+ * over both nonces, both names and its own role, so that a proof is valid for one link and one direction only.
+ * The listener sends its proof last.
  */
 
 import { createHmac, randomBytes, timingSafeEqual } from 'node:crypto';
@@ -36,13 +36,14 @@
 /** Second frame of each side. */
 export type Proof = z.output<typeof proofSchema>;
 
-/** Who a daemon says it is; `process` differs for each process that has the same id. */
+/** A daemon's claimed identity; `process` distinguishes processes with the same id. */
 export interface PeerName {
   readonly id: DaemonId;
   readonly address: string;
   readonly process: string;
 }
 
+/** Creates this side's hello with a new nonce. */
 export function makeHello(name: PeerName): Hello {
   const nonce = randomBytes(NONCE_BYTES).toString('hex');
   return { kind: 'hello', protocol: PROTOCOL, ...name, nonce };
@@ -61,11 +62,12 @@
   return createHmac('sha256', secret).update(text).digest('hex');
 }
 
+/** Creates the proof of the side with `role`. */
 export function makeProof(secret: string, role: LinkRole, own: Hello, other: Hello): Proof {
   return { kind: 'proof', mac: macOf(secret, role, own, other) };
 }
 
-/** Whether `proof` shows that the other side, in its role, knows the secret. */
+/** Whether `proof` is valid for the other side, whose role is `role`; compares in constant time. */
 export function checkProof(
   secret: string,
   role: LinkRole,
--- a/src/adapters/peers/link.ts
+++ b/src/adapters/peers/link.ts
@@ -1,4 +1,4 @@
-/** One link to a daemon: a socket, the handshake on it, and frames once both sides are proved. */
+/** An authenticated link to a daemon: a socket, the handshake, then frames. */
 
 import type { Socket } from 'node:net';
 
@@ -6,14 +6,15 @@
 import { checkProof, makeHello, makeProof, parseHello, parseProof } from './handshake';
 import type { Hello, LinkRole, PeerName } from './handshake';
 
+/** Limits of one link; times in milliseconds. */
 export interface LinkLimits {
-  /** The handshake takes this long at most. */
+  /** Timeout of the handshake. */
   readonly handshakeMs: number;
-  /** A link without traffic for this long is closed. */
+  /** Idle timeout. */
   readonly idleMs: number;
-  /** Bytes taken from a daemon that is not proved. */
+  /** Maximum number of bytes accepted before the peer is authenticated. */
   readonly handshakeBytes: number;
-  /** Bytes that wait for a daemon that does not read; more breaks the link. */
+  /** Maximum size of the send buffer; a link whose peer reads too slowly is closed. */
   readonly bufferBytes: number;
 }
 
@@ -22,18 +23,18 @@
   readonly name: PeerName;
   readonly secret: string;
   readonly limits: LinkLimits;
-  /** The other side is proved; false refuses it. */
+  /** Called once the peer is authenticated; returning false refuses it. */
   readonly onOpen: (peer: PeerName) => boolean;
-  /** Returns false for a frame that no daemon sends: the link is broken. */
+  /** Returns false for an invalid frame: the link is then closed. */
   readonly onFrame: (frame: unknown) => boolean;
-  /** Called once. `idle` when this side closed a link that nobody used. */
+  /** Called once. The reason is `idle` if this side closed an unused link. */
   readonly onClose: (reason: string) => void;
 }
 
 export interface Link {
-  /** False, and the link is broken, when too much waits to be read by the other side. */
+  /** Returns false if the link is closed, or if it closes now because the send buffer is full. */
   send(frame: unknown): boolean;
-  /** As `send`, for a frame that is encoded already: one that goes to many is encoded once. */
+  /** As `send`, for an encoded frame, so that a broadcast encodes it only once. */
   sendEncoded(bytes: Uint8Array): boolean;
   close(): void;
   destroy(reason: string): void;
@@ -50,18 +51,18 @@
 
 export const IDLE = 'idle';
 
-/** Runs the handshake on a connected or connecting socket and hands on frames after it. */
+/** Runs the handshake on a connected or connecting socket, then passes on frames. */
 export function createLink(socket: Socket, options: LinkOptions): Link {
   const { role, secret, limits } = options;
   const own = makeHello(options.name);
   const decoder = createFrameDecoder();
   let phase: Phase = 'hello';
   let other: Hello | undefined;
-  let reason = 'closed by the other side';
+  let reason = 'closed by the peer';
   let handshakeBytes = 0;
 
   const timer = setTimeout(() => {
-    destroy('handshake took too long');
+    destroy('handshake timeout');
   }, limits.handshakeMs);
 
   function write(frame: unknown): void {
@@ -78,7 +79,7 @@
     hello: (frame) => {
       other = parseHello(frame);
       if (!other) {
-        destroy('no hello');
+        destroy('expected a hello frame');
         return;
       }
       phase = 'proof';
@@ -87,14 +88,14 @@
     proof: (frame) => {
       const proof = parseProof(frame);
       if (!other || !proof || !checkProof(secret, OTHER_ROLE[role], own, other, proof)) {
-        destroy('wrong secret');
+        destroy('invalid proof: peer secrets differ');
         return;
       }
       if (role === 'listener') write(makeProof(secret, role, own, other));
       open(other);
     },
     open: (frame) => {
-      if (!options.onFrame(frame)) destroy('damaged frame');
+      if (!options.onFrame(frame)) destroy('invalid frame');
     },
   };
 
@@ -112,14 +113,15 @@
   socket.setKeepAlive(true, limits.idleMs);
   socket.on('data', (chunk: Buffer) => {
     if (phase !== 'open') handshakeBytes += chunk.length;
-    if (handshakeBytes > limits.handshakeBytes) destroy('too much before the handshake');
+    if (handshakeBytes > limits.handshakeBytes)
+      destroy('too many bytes before the end of the handshake');
     else decoder.write(chunk);
   });
   decoder.on('data', (frame: unknown) => {
     if (!socket.destroyed) takeFrame[phase](frame);
   });
   decoder.on('error', (err: Error) => {
-    destroy(`unreadable bytes: ${err.message}`);
+    destroy(`frame cannot be decoded: ${err.message}`);
   });
   socket.on('error', (err) => {
     reason = err.message;
@@ -136,7 +138,7 @@
   function sendEncoded(bytes: Uint8Array): boolean {
     if (socket.destroyed || !socket.writable) return false;
     if (socket.writableLength > limits.bufferBytes) {
-      destroy('the other side does not read');
+      destroy('send buffer full: the peer reads too slowly');
       return false;
     }
     socket.write(bytes);
--- a/src/adapters/peers/messages.ts
+++ b/src/adapters/peers/messages.ts
@@ -1,4 +1,4 @@
-/** What daemons may send each other, checked on arrival. */
+/** Schemas of the messages between daemons, validated on receipt. */
 
 import * as z from 'zod';
 
@@ -7,7 +7,7 @@
 import type { Json } from '../../core/json';
 import type { Message } from '../../core/membership/types';
 
-/** A message for one part of one daemon; membership only carries it. */
+/** A message to one component of one daemon, which membership only transports. */
 export interface DirectFrame {
   readonly kind: 'direct';
   readonly topic: string;
@@ -55,7 +55,7 @@
   z.strictObject({ kind: z.literal('direct'), topic: text, value: json }),
 ]);
 
-/** The message in a frame; undefined if no daemon sends such a one. */
+/** Parses a frame; undefined if it is not a valid message. */
 export function parsePeerMessage(frame: unknown): PeerMessage | undefined {
   return messageSchema.safeParse(frame).data;
 }
--- a/src/adapters/peers/peers.ts
+++ b/src/adapters/peers/peers.ts
@@ -1,4 +1,4 @@
-/** Links to the other daemons, by address: dialled when needed, kept while used. */
+/** Connections to the other daemons, by address: opened on demand, closed when idle. */
 
 import { randomUUID } from 'node:crypto';
 import type { Server, Socket } from 'node:net';
@@ -19,12 +19,13 @@
 import { createPeerServer, dialPeer } from './tls';
 import type { PeerTls } from './tls';
 
+/** Limits of the peer connections; times in milliseconds. */
 export interface PeerSettings extends LinkLimits, BackoffLimits {
-  /** Messages that wait for a link being made. */
+  /** Messages queued while a link is being opened. */
   readonly queuedMessages: number;
-  /** Connections from others that are not proved yet. */
+  /** Incoming connections that are not authenticated yet. */
   readonly pendingLinks: number;
-  /** Longest wait for the last bytes at stop. */
+  /** Maximum wait for links to flush and close at stop. */
   readonly closeMs: number;
 }
 
@@ -42,11 +43,11 @@
 
 export interface PeersOptions<M> {
   readonly self: { readonly id: DaemonId; readonly address: string };
-  /** Where to listen, if not at the address others use. */
+  /** Listen address, if it differs from the advertised one. */
   readonly listen?: string;
   readonly secret: string;
   readonly tls?: PeerTls;
-  /** Reads a frame; undefined if no daemon sends such a one. */
+  /** Validates a frame; undefined if it is not a valid message. */
   readonly parse: (frame: unknown) => M | undefined;
   readonly dial?: (address: string) => Socket;
   readonly clock: Clock;
@@ -55,11 +56,12 @@
   readonly settings?: Partial<PeerSettings>;
 }
 
-/** A message with the address at which its sender is found. */
+/** A received message, with its sender's advertised address. */
 export interface ReceivedFrom<M> extends Received<M> {
   readonly address: string;
 }
 
+/** Bytes since the start, over all links, and the number of current links. */
 export interface PeerTraffic {
   readonly sentBytes: number;
   readonly receivedBytes: number;
@@ -76,7 +78,7 @@
   drop(address: string): void;
   traffic(): PeerTraffic;
   start(): Promise<void>;
-  /** Sends what waits, then closes all links. */
+  /** Flushes pending writes, then closes all links. */
   stop(): Promise<void>;
 }
 
@@ -85,6 +87,7 @@
   readonly queue: Uint8Array[];
 }
 
+/** Creates the peer connections of one daemon. */
 export function createPeers<M>(options: PeersOptions<M>): TcpPeers<M> {
   const settings: PeerSettings = { ...PEER_DEFAULTS, ...options.settings };
   const { self, secret, tls, logger } = options;
@@ -105,7 +108,7 @@
   function takeFrame(peer: PeerName | undefined, frame: unknown): boolean {
     const message = options.parse(frame);
     if (message === undefined || !peer) {
-      // A daemon of another program, or a fault: never to be passed over in silence.
+      // An incompatible daemon or a bug: always logged.
       logger.warn('message refused: no daemon sends such a one', {
         step: 'peer-message',
         ...(peer && { peer: peer.id }),
@@ -168,7 +171,7 @@
 
   function noteBroken(address: string, reason: string): void {
     if (reason === IDLE || stopped || selfAddresses.has(address)) return;
-    logger.debug(`link broke: ${reason}`, { step: 'peer-link', peer: address });
+    logger.debug(`link broken: ${reason}`, { step: 'peer-link', peer: address });
     unreachable.next(address);
   }
 
@@ -188,7 +191,7 @@
         pending -= 1;
         peer = found;
         if (!isAcceptable(found)) return false;
-        // The newest link is the one that works: its maker may have found the others silent.
+        // Prefer the newest link: the dialler may have found the older ones unresponsive.
         links.set(found.address, link);
         return true;
       },
@@ -207,7 +210,7 @@
     all.add(link);
   }
 
-  /** `encode` is called only where there is a link to send over, or one is being made. */
+  /** `encode` is called only if a link is open or being opened. */
   function sendEncoded(address: string, encode: () => Uint8Array): boolean {
     if (stopped || selfAddresses.has(address)) return false;
     const link = links.get(address);
--- a/src/adapters/peers/tls.ts
+++ b/src/adapters/peers/tls.ts
@@ -1,4 +1,4 @@
-/** Sockets between daemons: plain TCP, or TLS where a certificate is set. */
+/** Sockets between daemons: TLS if a certificate is configured, else plain TCP. */
 
 import { connect, createServer } from 'node:net';
 import type { Server, Socket } from 'node:net';
@@ -6,21 +6,21 @@
 
 import { parseAddress } from '../../utils/address';
 
-/** PEM texts; each daemon has a certificate of the same authority. */
+/** Certificate, key and CA as PEM; all daemons' certificates are issued by the same CA. */
 export interface PeerTls {
   readonly cert: string;
   readonly key: string;
   readonly ca: string;
 }
 
-/** Dials a daemon. Daemons are known by IP numbers, so the authority is checked and no host name. */
+/** Connects to a daemon. Daemons are addressed by IP, so the CA is checked but not the host name. */
 export function dialPeer(address: string, tls: PeerTls | undefined): Socket {
   const target = parseAddress(address);
   if (!tls) return connect(target);
   return connectTls({ ...target, ...tls, checkServerIdentity: () => undefined });
 }
 
-/** A server that hands over sockets once they are fit for the handshake. */
+/** Creates a server that passes on sockets ready for the handshake: with TLS, after its own handshake. */
 export function createPeerServer(
   tls: PeerTls | undefined,
   onSocket: (socket: Socket) => void,
--- a/src/adapters/platform/instances.ts
+++ b/src/adapters/platform/instances.ts
@@ -1,4 +1,4 @@
-/** The platform's lagging instance list over HTTP. */
+/** HTTP client for the platform's instance list, which may be out of date. */
 
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
@@ -25,7 +25,7 @@
   state: z.enum(['live', 'leaving']),
   checksFencing: z.boolean(),
 });
-const listReply = z.object({ instances: z.array(entry) });
+const listReplySchema = z.object({ instances: z.array(entry) });
 
 function toEntry({ domain, ...rest }: z.infer<typeof entry>): InstanceEntry {
   return domain === undefined ? rest : { ...rest, domain };
@@ -33,21 +33,23 @@
 
 function parseList(body: Buffer, peer: string): Result<readonly InstanceEntry[], StepError> {
   try {
-    return ok(listReply.parse(JSON.parse(body.toString('utf8'))).instances.map(toEntry));
+    return ok(listReplySchema.parse(JSON.parse(body.toString('utf8'))).instances.map(toEntry));
   } catch (cause) {
     return err(
-      fail('unavailable', 'unreadable instance list', { step: 'instance-list', peer, cause }),
+      fail('unavailable', 'invalid instance list', { step: 'instance-list', peer, cause }),
     );
   }
 }
 
-/** A client of the instance list, with this daemon's own entry in it. */
+/** The instance list, with registration of this daemon. */
 export interface InstanceRegistry extends InstanceList {
-  /** Puts this process's own entry into the list. */
+  /** Registers this process. */
   enter(entry: InstanceEntry): ReturnType<ReturnType<typeof createStoreCaller>>;
+  /** Removes the entry of an instance. */
   leave(id: InstanceId): ReturnType<ReturnType<typeof createStoreCaller>>;
 }
 
+/** Creates an instance list client. */
 export function createInstanceList(opts: PlatformOptions): InstanceRegistry {
   const call = createStoreCaller(opts);
   const pathOf = (id: InstanceId): string => `/instances/${encodeURIComponent(id)}`;
--- a/src/adapters/platform/objects.ts
+++ b/src/adapters/platform/objects.ts
@@ -1,4 +1,4 @@
-/** The platform's object store over HTTP. */
+/** HTTP client for the platform's object store. */
 
 import { err, ok } from 'neverthrow';
 
@@ -9,18 +9,22 @@
 
 const pathOf = (key: string): string => `/objects/${encodeURIComponent(key)}`;
 
-/** A client of the object store. */
+/** Creates an object store client. */
 export function createObjectStore(opts: PlatformOptions): ObjectStore {
   const call = createStoreCaller(opts);
   const write = (step: string, method: string, key: string, body?: Uint8Array) => {
     const base: StoreCall = { step, method, path: pathOf(key), writes: true };
-    const sent =
+    const request =
       body === undefined ? base : { ...base, body, contentType: 'application/octet-stream' };
-    return call(sent).andThen((reply) =>
+    return call(request).andThen((reply) =>
       reply.status < 300
         ? ok(undefined)
         : err(
-            fail('store-unavailable', `refused with ${reply.status}`, { step, peer: opts.address }),
+            fail(
+              'store-unavailable',
+              `object store refused the write with status ${reply.status}`,
+              { step, peer: opts.address },
+            ),
           ),
     );
   };
--- a/src/adapters/platform/store-call.ts
+++ b/src/adapters/platform/store-call.ts
@@ -1,4 +1,4 @@
-/** What the platform's stores have in common: one agent, one reading of failures. */
+/** HTTP calls to the platform's stores: connection pooling and mapping of failures to error codes. */
 
 import { Agent } from 'node:http';
 import { errAsync, okAsync } from 'neverthrow';
@@ -12,38 +12,39 @@
 export interface PlatformOptions {
   /** `host:port` of the platform's service. */
   readonly address: string;
-  /** A call without an answer after this long is given up, milliseconds. */
+  /** Timeout of a call, milliseconds. */
   readonly timeoutMs?: number;
-  /** Connections at a time. */
+  /** Maximum number of concurrent connections. */
   readonly maxSockets?: number;
-  /** Sees each reply before anything is made of it. */
+  /** Called with each reply before it is interpreted. */
   readonly onReply?: (reply: HttpReply, step: string) => void;
 }
 
-/** One call of a store. */
+/** One call to a store. */
 export interface StoreCall {
   readonly step: string;
   readonly method: string;
   readonly path: string;
   readonly body?: Uint8Array;
   readonly contentType?: string;
-  /** Whether a lost answer leaves it open if something was written. */
+  /** Whether the call writes: a lost response then means `store-unknown`. */
   readonly writes: boolean;
-  /** In place of the store's own limit, as for a poll that waits, milliseconds. */
+  /** Overrides the default timeout, for instance for a long poll, milliseconds. */
   readonly timeoutMs?: number;
-  /** Ends the call when it aborts. */
+  /** Aborts the call. */
   readonly signal?: AbortSignal;
 }
 
+/** Errors: `store-unavailable`; `store-unknown` if a write may have taken effect. */
 export type CallStore = (call: StoreCall) => ResultAsync<HttpReply, StepError>;
 
 const DEFAULT_TIMEOUT_MS = 2_000;
 const DEFAULT_MAX_SOCKETS = 16;
-const REFUSED = new Set([429, 503]);
+const REFUSED_STATUSES = new Set([429, 503]);
 
 /**
- * Connections may fall silent together, without an error. After a call without an answer the next one
- * takes a new connection: on another silent one it would cost its whole time limit once more.
+ * Closes all idle connections. Pooled connections may die together without an error; after a call without
+ * a response, the next one must not use another dead connection and wait for its full timeout again.
  */
 function dropIdle(agent: Agent): void {
   for (const sockets of Object.values(agent.freeSockets)) {
@@ -51,7 +52,7 @@
   }
 }
 
-/** A caller of the platform's stores; refusals and lost answers become errors, other replies are left. */
+/** Creates a store client. Status 429, 5xx and lost responses become errors; other replies are returned. */
 export function createStoreCaller(opts: PlatformOptions): CallStore {
   const agent = new Agent({ keepAlive: true, maxSockets: opts.maxSockets ?? DEFAULT_MAX_SOCKETS });
   const timeoutMs = opts.timeoutMs ?? DEFAULT_TIMEOUT_MS;
@@ -61,17 +62,22 @@
       .mapErr((failure) => {
         dropIdle(agent);
         return writes && failure.maybeSent
-          ? fail('store-unknown', 'no answer to a write', { ...origin, cause: failure.cause })
-          : fail('store-unavailable', 'no answer', { ...origin, cause: failure.cause });
+          ? fail('store-unknown', 'no response to a write, which may have taken effect', {
+              ...origin,
+              cause: failure.cause,
+            })
+          : fail('store-unavailable', 'no response', { ...origin, cause: failure.cause });
       })
       .andThen((reply) => {
         opts.onReply?.(reply, step);
-        if (REFUSED.has(reply.status)) {
-          return errAsync(fail('store-unavailable', `refused with ${reply.status}`, origin));
+        if (REFUSED_STATUSES.has(reply.status)) {
+          return errAsync(
+            fail('store-unavailable', `store refused the call with status ${reply.status}`, origin),
+          );
         }
         if (reply.status >= 500) {
           const code = writes ? 'store-unknown' : 'store-unavailable';
-          return errAsync(fail(code, `failed with ${reply.status}`, origin));
+          return errAsync(fail(code, `store call failed with status ${reply.status}`, origin));
         }
         return okAsync(reply);
       });
--- a/src/adapters/platform/table.ts
+++ b/src/adapters/platform/table.ts
@@ -1,4 +1,4 @@
-/** The platform's table service over HTTP. */
+/** HTTP client for the platform's table service. */
 
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
@@ -11,12 +11,12 @@
 import { createStoreCaller } from './store-call';
 import type { PlatformOptions } from './store-call';
 
-const json: z.ZodType<Json> = z.json();
-const row = z.object({ key: z.string(), version: z.number().int(), value: json });
-const rowsReply = z.object({ rows: z.array(row) });
-const scanReply = z.object({ rows: z.array(row), after: z.string().optional() });
-const commitReply = z.object({ versions: z.record(z.string(), z.number().int()) });
-const conflictReply = z.object({ conflict: z.string() });
+const jsonSchema: z.ZodType<Json> = z.json();
+const rowSchema = z.object({ key: z.string(), version: z.number().int(), value: jsonSchema });
+const rowsReplySchema = z.object({ rows: z.array(rowSchema) });
+const scanReplySchema = z.object({ rows: z.array(rowSchema), after: z.string().optional() });
+const commitReplySchema = z.object({ versions: z.record(z.string(), z.number().int()) });
+const conflictReplySchema = z.object({ conflict: z.string() });
 
 function encode(value: unknown): Uint8Array {
   return Buffer.from(JSON.stringify(value));
@@ -31,11 +31,11 @@
   try {
     return ok(schema.parse(JSON.parse(reply.body.toString('utf8'))));
   } catch (cause) {
-    return err(fail(code, 'unreadable answer', { step, cause }));
+    return err(fail(code, 'invalid response from the table service', { step, cause }));
   }
 }
 
-/** A client of the table service. */
+/** Creates a table service client. */
 export function createTable(opts: PlatformOptions): Table {
   const call = createStoreCaller(opts);
   const post = (step: string, path: string, body: unknown, writes: boolean) =>
@@ -43,19 +43,19 @@
   return {
     read: (keys) =>
       post('table-read', '/table/read', { keys }, false)
-        .andThen((reply) => parseBody(rowsReply, reply, 'table-read'))
+        .andThen((reply) => parseBody(rowsReplySchema, reply, 'table-read'))
         .map(({ rows }) => rows),
     scan: (prefix, after) =>
       post('table-scan', '/table/scan', { prefix, after }, false)
-        .andThen((reply) => parseBody(scanReply, reply, 'table-scan'))
+        .andThen((reply) => parseBody(scanReplySchema, reply, 'table-scan'))
         .map(({ rows, after: rest }): ScanPage =>
           rest === undefined ? { rows } : { rows, after: rest },
         ),
     commit: (transaction) =>
       post('table-commit', '/table/commit', transaction, true).andThen((reply) => {
         if (reply.status !== 409)
-          return parseBody(commitReply, reply, 'table-commit', 'store-unknown');
-        return parseBody(conflictReply, reply, 'table-commit').andThen(({ conflict }) =>
+          return parseBody(commitReplySchema, reply, 'table-commit', 'store-unknown');
+        return parseBody(conflictReplySchema, reply, 'table-commit').andThen(({ conflict }) =>
           err(
             fail('conflict', `row ${conflict} has changed`, {
               step: 'table-commit',
--- a/src/adapters/runtime.ts
+++ b/src/adapters/runtime.ts
@@ -1,4 +1,4 @@
-/** The process's own clocks and seeded chance. */
+/** System clocks and a seeded random number generator. */
 
 import { performance } from 'node:perf_hooks';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
@@ -17,7 +17,7 @@
   };
 }
 
-/** A source of chance that gives the same numbers for the same seed. */
+/** Creates a random number generator; the same seed gives the same sequence. */
 export function createRandom(seed: number): Random {
   const generator = xoroshiro128plus(seed);
   return {
--- a/src/adapters/telemetry/bounded-lines.ts
+++ b/src/adapters/telemetry/bounded-lines.ts
@@ -1,17 +1,17 @@
 /**
- * Bounds the log. Lines beyond a budget are left out and counted, so that a flood of ordinary lines
- * costs neither processor time nor the lines that matter: warnings have a budget of their own.
+ * Rate limits the log by token buckets. Lines beyond the limit are dropped and counted, so that a flood of
+ * ordinary lines neither costs CPU time nor displaces warnings and errors, which have their own bucket.
  */
 
 export interface LineBudget {
-  /** Lines a second that are written in the long run. */
+  /** Sustained rate, lines per second. */
   readonly perS: number;
-  /** Lines that may be written at once after a quiet time. */
+  /** Bucket size: lines that may be written at once after idle time. */
   readonly burst: number;
 }
 
 export interface BoundedLinesOptions {
-  /** Takes a line; false where it cannot. */
+  /** Writes a line; returns false if the line was dropped. */
   readonly write: (line: string) => boolean;
   /** Monotonic milliseconds. */
   readonly now: () => number;
@@ -19,30 +19,31 @@
   readonly important?: LineBudget;
 }
 
-/** Twice what a daemon of the users' fleets writes at its highest load, one line a request. */
+/** Twice the peak rate of a daemon of the users' fleets, which writes one line per request. */
 const ORDINARY: LineBudget = { perS: 100, burst: 300 };
 const IMPORTANT: LineBudget = { perS: 100, burst: 500 };
-/** Left-out lines are reported at this interval, milliseconds. */
+/** Interval at which dropped lines are reported, milliseconds. */
 const REPORT_MS = 1_000;
 const MS_PER_S = 1_000;
 const IMPORTANT_LINE = /"level":"(?:warn|error)"/;
 
 interface Bucket {
   readonly budget: LineBudget;
-  left: number;
+  tokens: number;
   at: number;
 }
 
+/** Takes one token, if available, after refilling the bucket. */
 function take(bucket: Bucket, now: number): boolean {
   const { perS, burst } = bucket.budget;
-  bucket.left = Math.min(burst, bucket.left + ((now - bucket.at) * perS) / MS_PER_S);
+  bucket.tokens = Math.min(burst, bucket.tokens + ((now - bucket.at) * perS) / MS_PER_S);
   bucket.at = now;
-  if (bucket.left < 1) return false;
-  bucket.left -= 1;
+  if (bucket.tokens < 1) return false;
+  bucket.tokens -= 1;
   return true;
 }
 
-/** A writer for the logger that keeps to the budgets. */
+/** Creates a rate-limited `write` for the logger. */
 export function createBoundedLines({
   write,
   now,
@@ -50,23 +51,23 @@
   important = IMPORTANT,
 }: BoundedLinesOptions): (line: string) => void {
   const buckets = {
-    ordinary: { budget: ordinary, left: ordinary.burst, at: now() },
-    important: { budget: important, left: important.burst, at: now() },
+    ordinary: { budget: ordinary, tokens: ordinary.burst, at: now() },
+    important: { budget: important, tokens: important.burst, at: now() },
   };
-  let leftOut = 0;
+  let dropped = 0;
   let reportedAt = now();
 
   const report = (time: number): void => {
-    if (leftOut === 0 || time < reportedAt + REPORT_MS) return;
+    if (dropped === 0 || time < reportedAt + REPORT_MS) return;
     const message = 'log lines left out';
     reportedAt = time;
-    if (write(JSON.stringify({ level: 'warn', message, step: 'log', count: leftOut }))) leftOut = 0;
+    if (write(JSON.stringify({ level: 'warn', message, step: 'log', count: dropped }))) dropped = 0;
   };
 
   return (line) => {
     const time = now();
     const bucket = IMPORTANT_LINE.test(line) ? buckets.important : buckets.ordinary;
-    if (!take(bucket, time) || !write(line)) leftOut += 1;
+    if (!take(bucket, time) || !write(line)) dropped += 1;
     report(time);
   };
 }
--- a/src/adapters/telemetry/descriptions.ts
+++ b/src/adapters/telemetry/descriptions.ts
@@ -1,4 +1,4 @@
-/** One line of help for each metric; a name that is missing here is shown without. */
+/** Help text of each metric; a metric that is missing here shows its name instead. */
 
 export const DESCRIPTIONS: Readonly<Record<string, string>> = {
   nutmegstack_requests_total: 'Requests of callers by outcome and code',
--- a/src/adapters/telemetry/latency.ts
+++ b/src/adapters/telemetry/latency.ts
@@ -1,15 +1,15 @@
-/** Latencies of one label set: quantiles of the last minutes, sum and count since the start. */
+/** Latencies of one label set: quantiles over the last one to two minutes, sum and count since the start. */
 
 import { build } from 'hdr-histogram-js';
 import type { Histogram } from 'hdr-histogram-js';
 
 const WINDOW_MS = 60_000;
-const HIGHEST_US = 3_600_000_000;
+const MAX_TRACKED_US = 3_600_000_000;
 const US_PER_MS = 1000;
 
 export const QUANTILES = [0.5, 0.9, 0.95, 0.99, 0.999] as const;
 
-/** Two windows, so that quantiles always cover one whole minute at least. */
+/** Two windows, so that quantiles always cover at least one full minute. */
 export interface Latency {
   current: Histogram;
   previous: Histogram;
@@ -23,11 +23,12 @@
   return build({
     bitBucketSize: 'packed',
     lowestDiscernibleValue: 1,
-    highestTrackableValue: HIGHEST_US,
+    highestTrackableValue: MAX_TRACKED_US,
     numberOfSignificantValueDigits: 2,
   });
 }
 
+/** Creates an empty recorder. `now` is monotonic, milliseconds. */
 export function createLatency(now: number): Latency {
   return {
     current: createHistogram(),
@@ -46,15 +47,16 @@
   latency.windowEnd = now + WINDOW_MS;
 }
 
+/** Records one latency. */
 export function record(latency: Latency, ms: number, now: number): void {
   rotate(latency, now);
-  const us = Math.min(HIGHEST_US, Math.max(0, Math.round(ms * US_PER_MS)));
+  const us = Math.min(MAX_TRACKED_US, Math.max(0, Math.round(ms * US_PER_MS)));
   latency.current.recordValue(us);
   latency.sumMs += ms;
   latency.count += 1;
 }
 
-/** The quantiles of {@link QUANTILES}, milliseconds. */
+/** Values at the {@link QUANTILES}, milliseconds. */
 export function quantiles(latency: Latency, now: number): readonly number[] {
   rotate(latency, now);
   const all = createHistogram();
--- a/src/adapters/telemetry/line-writer.ts
+++ b/src/adapters/telemetry/line-writer.ts
@@ -1,33 +1,33 @@
 /**
- * Writes lines to a file descriptor without ever holding up the event loop. Writes to a pipe are
- * synchronous in Node, so a reader that stops reading would stop the process: here one write at a time
- * runs in libuv's thread pool, and lines beyond a bound are refused.
+ * Writes lines to a file descriptor without blocking the event loop. Node writes to pipes synchronously,
+ * so a reader that stops reading would block the process. Here one write at a time runs in libuv's thread
+ * pool, and lines beyond a buffer limit are refused.
  */
 
 import { write as writeToFd } from 'node:fs';
 
-/** Writes bytes and calls back with an error, or with how many were taken. */
+/** Writes bytes; calls back with an error or the number of bytes written. */
 type WriteBytes = (
   bytes: Buffer,
-  done: (err: NodeJS.ErrnoException | null, taken: number) => void,
+  done: (err: NodeJS.ErrnoException | null, written: number) => void,
 ) => void;
 
 export interface LineWriterOptions {
   readonly write?: WriteBytes;
-  /** Lines that wait may hold so many bytes together. */
+  /** Maximum total length of the buffered lines. */
   readonly maxBytes?: number;
 }
 
 export interface LineWriter {
-  /** False where the line is lost because too much waits. */
+  /** Returns false, and drops the line, if the buffer is full. */
   write(line: string): boolean;
-  /** Resolves once nothing waits. */
+  /** Resolves once all buffered lines are written. */
   drain(): Promise<void>;
 }
 
-/** A few seconds of a daemon's log at its highest rate, and a small part of its memory. */
-const MAX_WAITING_BYTES = 1024 * 1024;
-/** A descriptor that takes nothing at the moment is tried again after this, milliseconds. */
+/** Holds a few seconds of a daemon's log at its highest rate; small against its memory. */
+const DEFAULT_MAX_BYTES = 1024 * 1024;
+/** Retry delay after EAGAIN, milliseconds. */
 const BUSY_RETRY_MS = 20;
 
 const writeToStdout: WriteBytes = (bytes, done) => {
@@ -36,17 +36,17 @@
 
 export function createLineWriter({
   write = writeToStdout,
-  maxBytes = MAX_WAITING_BYTES,
+  maxBytes = DEFAULT_MAX_BYTES,
 }: LineWriterOptions = {}): LineWriter {
-  let waiting: string[] = [];
-  let waitingBytes = 0;
-  /** What is being written now; undefined between writes. */
+  let buffered: string[] = [];
+  let bufferedBytes = 0;
+  /** Bytes being written; undefined between writes. */
   let current: Buffer | undefined;
   let onDrained: (() => void)[] = [];
 
   const finish = (): void => {
     current = undefined;
-    if (waiting.length > 0) {
+    if (buffered.length > 0) {
       start();
       return;
     }
@@ -54,32 +54,32 @@
     onDrained = [];
   };
 
-  const writeOn = (bytes: Buffer): void => {
+  const writeAll = (bytes: Buffer): void => {
     current = bytes;
-    write(bytes, (err, taken) => {
+    write(bytes, (err, written) => {
       if (err?.code === 'EAGAIN') {
-        setTimeout(writeOn, BUSY_RETRY_MS, bytes);
+        setTimeout(writeAll, BUSY_RETRY_MS, bytes);
         return;
       }
-      // Nobody reads any more, and there is no other place to say so.
-      if (err || taken >= bytes.length) finish();
-      else writeOn(bytes.subarray(taken));
+      // On an error the bytes are dropped: the reader is gone, and there is nowhere else to report it.
+      if (err || written >= bytes.length) finish();
+      else writeAll(bytes.subarray(written));
     });
   };
 
   const start = (): void => {
-    const bytes = Buffer.from(waiting.join(''));
-    waiting = [];
-    waitingBytes = 0;
-    writeOn(bytes);
+    const bytes = Buffer.from(buffered.join(''));
+    buffered = [];
+    bufferedBytes = 0;
+    writeAll(bytes);
   };
 
   return {
     write: (line) => {
       const text = `${line}\n`;
-      if (waitingBytes + text.length > maxBytes) return false;
-      waiting.push(text);
-      waitingBytes += text.length;
+      if (bufferedBytes + text.length > maxBytes) return false;
+      buffered.push(text);
+      bufferedBytes += text.length;
       if (current === undefined) start();
       return true;
     },
--- a/src/adapters/telemetry/logger.ts
+++ b/src/adapters/telemetry/logger.ts
@@ -1,11 +1,11 @@
-/** Logs as JSON lines. */
+/** Logger that writes JSON lines. */
 
 import { createConsola } from 'consola/core';
 import type { LogObject } from 'consola/core';
 
 import type { LogFields, Logger } from '../../ports/runtime';
 
-/** Levels by name, in the numbers of consola. */
+/** Log levels by name, as consola's numbers. */
 export const LOG_LEVELS = { error: 0, warn: 1, info: 3, debug: 4 } as const;
 
 export type LogLevelName = keyof typeof LOG_LEVELS;
@@ -14,11 +14,11 @@
   readonly level?: LogLevelName;
   /** Fields of every line, for instance the daemon's id. */
   readonly fields?: LogFields;
-  /** Takes each line, without its end. */
+  /** Receives each line, without line break. */
   readonly write?: (line: string) => void;
 }
 
-/** Never logged, whoever passes them. */
+/** Fields that are always removed from log lines. */
 const SECRET_FIELDS: ReadonlySet<string> = new Set([
   'prompt',
   'messages',
@@ -47,7 +47,7 @@
   });
 }
 
-/** Creates a logger that writes one JSON object a line. */
+/** Creates a logger that writes one JSON object per line. */
 export function createLogger({
   level = 'info',
   fields: common = {},
--- a/src/adapters/telemetry/metrics.ts
+++ b/src/adapters/telemetry/metrics.ts
@@ -1,4 +1,4 @@
-/** Metrics in a Prometheus registry; latencies as quantiles of HDR histograms. */
+/** Prometheus metrics; latencies are summaries with quantiles from HDR histograms. */
 
 import { performance } from 'node:perf_hooks';
 import { collectDefaultMetrics, Registry } from 'prom-client';
@@ -12,24 +12,24 @@
 import type { Entry, Series } from './series';
 
 export interface MetricsOptions {
-  /** Whether processor time, memory and delay of the event loop are shown too. */
+  /** Include process metrics: CPU time, memory and event loop delay. */
   readonly ofProcess?: boolean;
-  /** Monotonic milliseconds; given by tests. */
+  /** Monotonic clock, milliseconds; tests override it. */
   readonly now?: () => number;
 }
 
 type Value = MetricValue<string> & { readonly metricName?: string };
 
-/** What the registry asks of a metric. */
+/** Type and current values of a metric, for the registry. */
 interface Source {
   readonly type: 'counter' | 'gauge' | 'summary';
-  /** Values to show, of every label set. */
+  /** Values of all label sets. */
   readonly values: () => Value[];
 }
 
 const NO_LABELS: Labels = {};
 
-/** Enters a source in the registry, whose own metric types want all label names beforehand. */
+/** Registers a metric directly, as prom-client's own metric types need all label names in advance. */
 function register(registry: Registry, name: string, { type, values }: Source): void {
   const help = DESCRIPTIONS[name] ?? name;
   const get = () => Promise.resolve({ name, help, type, values: values() });
@@ -41,18 +41,18 @@
 }
 
 function latencyValues(name: string, { labels, value }: Entry<Latency>, now: number): Value[] {
-  const shown = quantiles(value, now).map((ms, i) => ({
+  const quantileValues = quantiles(value, now).map((ms, i) => ({
     labels: { ...labels, quantile: String(QUANTILES[i]) },
     value: ms,
   }));
   return [
-    ...shown,
+    ...quantileValues,
     { metricName: `${name}_sum`, labels: { ...labels }, value: value.sumMs },
     { metricName: `${name}_count`, labels: { ...labels }, value: value.count },
   ];
 }
 
-/** Creates the metrics of one daemon. Latencies are shown in milliseconds. */
+/** Creates the metrics of one daemon. Latencies are in milliseconds. */
 export function createMetrics({
   ofProcess = true,
   now = () => performance.now(),
@@ -68,8 +68,8 @@
     name: string,
     source: (series: Series<T>) => Source,
   ): Series<T> => {
-    const known = all.get(name);
-    if (known !== undefined) return known;
+    const existing = all.get(name);
+    if (existing !== undefined) return existing;
     const series: Series<T> = new Map();
     all.set(name, series);
     register(registry, name, source(series));
--- a/src/adapters/telemetry/series.ts
+++ b/src/adapters/telemetry/series.ts
@@ -1,18 +1,18 @@
-/** Values by label set: what one metric holds. */
+/** Time series of one metric, by label set. */
 
 import { compareText } from '../../utils/common';
 import type { Labels } from '../../ports/telemetry';
 
-/** One label set and what belongs to it. */
+/** One label set and its value. */
 export interface Entry<T> {
   readonly labels: Labels;
   value: T;
 }
 
-/** By a text made of the sorted labels. */
+/** Entries by a key made of the sorted labels. */
 export type Series<T> = Map<string, Entry<T>>;
 
-/** Label sets that one metric may have; more are counted as the last one, so that memory stays bounded. */
+/** Label sets per metric; further ones share one overflow entry, which bounds memory. */
 const MAX_LABEL_SETS = 2000;
 const OVERFLOW: Labels = { overflow: 'true' };
 
@@ -23,11 +23,11 @@
     .join('\0');
 }
 
-/** The entry of a label set; made by `create` where there is none. */
+/** The entry of a label set; `create` makes the value of a new one. */
 export function entryOf<T>(series: Series<T>, labels: Labels, create: () => T): Entry<T> {
   const key = keyOf(labels);
-  const known = series.get(key);
-  if (known !== undefined) return known;
+  const existing = series.get(key);
+  if (existing !== undefined) return existing;
   if (series.size >= MAX_LABEL_SETS && labels !== OVERFLOW) {
     return entryOf(series, OVERFLOW, create);
   }
--- a/src/adapters/telemetry/tracer.ts
+++ b/src/adapters/telemetry/tracer.ts
@@ -1,4 +1,4 @@
-/** Traces by the OpenTelemetry libraries: W3C trace context in and out, OTLP over HTTP. */
+/** OpenTelemetry tracing: W3C trace context propagation, export by OTLP over HTTP. */
 
 import {
   defaultTextMapGetter,
@@ -22,19 +22,19 @@
 import type { Span, Tracer } from '../../ports/telemetry';
 
 export interface TracerOptions {
-  /** Where spans go, for instance `http://10.0.0.9:4318/v1/traces`; none: nothing is exported. */
+  /** OTLP endpoint, for instance `http://10.0.0.9:4318/v1/traces`; if absent, nothing is exported. */
   readonly otlpUrl?: string;
-  /** Name of the service in the traces. */
+  /** `service.name` of the traces. */
   readonly service: string;
-  /** This daemon's id. */
+  /** `service.instance.id`: this daemon's id. */
   readonly instance?: string;
-  /** Share of traces without a caller's decision that is exported, 0 to 1. */
+  /** Sampling ratio of traces without a caller's sampling decision, 0 to 1. */
   readonly share?: number;
 }
 
-/** A tracer with spans still to be sent. */
+/** A tracer that buffers spans for export. */
 export interface ClosableTracer extends Tracer {
-  /** Sends what is left, then stops. */
+  /** Exports buffered spans, then stops; export errors are ignored. */
   close(): Promise<void>;
 }
 
--- a/src/adapters/tls-files.ts
+++ b/src/adapters/tls-files.ts
@@ -1,16 +1,17 @@
-/** Reads a certificate with its key for the links between daemons. */
+/** Reads the TLS certificate, key and CA for connections between daemons. */
 
 import { readFile } from 'node:fs/promises';
 
 import type { PeerTls } from './peers/tls';
 
-/** Paths as the settings give them. */
+/** Paths from the settings. */
 export interface TlsFiles {
   readonly certFile: string;
   readonly keyFile: string;
   readonly caFile: string;
 }
 
+/** Rejects if a file cannot be read. */
 export async function readTls(files: TlsFiles): Promise<PeerTls> {
   const [cert, key, ca] = await Promise.all([
     readFile(files.certFile, 'utf8'),
--- a/src/adapters/upstream/connect-limit.ts
+++ b/src/adapters/upstream/connect-limit.ts
@@ -1,27 +1,29 @@
 /**
- * How long a connection may take to be made, by how long others took. A server that is dark answers
- * nothing; the sooner that is noticed, the more of the caller's time is left for another one.
+ * Adaptive connect timeout, derived from measured connect times. An unreachable server drops packets
+ * silently; the sooner the attempt times out, the more of the caller's deadline remains for another server.
  */
 
-/** Times longer than the usual one, and a floor for what a busy process adds, milliseconds. */
-const USUAL_TIMES = 12;
-const LEAST_MS = 100;
-/** Weight of the latest connection in the mean. */
+/** Multiple of the mean connect time. */
+const MEAN_FACTOR = 12;
+/** Lower bound, milliseconds: allows for delays in a busy process. */
+const MIN_LIMIT_MS = 100;
+/** Weight of the latest connect time in the moving average. */
 const SMOOTHING = 0.1;
 
+/** Connect timeout of one connection pool. */
 export interface ConnectLimit {
+  /** The current timeout, milliseconds. */
   limitMs(): number;
+  /** Records the duration of a successful connect, milliseconds. */
   note(tookMs: number): void;
 }
 
-/** `longestMs` holds until a first connection was made, and whatever the others take. */
-export function createConnectLimit(longestMs: number): ConnectLimit {
+/** `maxMs` is the upper bound, and the timeout until a first connection has succeeded. */
+export function createConnectLimit(maxMs: number): ConnectLimit {
   let meanMs: number | undefined;
   return {
     limitMs: () =>
-      meanMs === undefined
-        ? longestMs
-        : Math.min(longestMs, Math.max(LEAST_MS, USUAL_TIMES * meanMs)),
+      meanMs === undefined ? maxMs : Math.min(maxMs, Math.max(MIN_LIMIT_MS, MEAN_FACTOR * meanMs)),
     note: (tookMs) => {
       meanMs = meanMs === undefined ? tookMs : meanMs + SMOOTHING * (tookMs - meanMs);
     },
--- a/src/adapters/upstream/upstream.ts
+++ b/src/adapters/upstream/upstream.ts
@@ -1,9 +1,9 @@
 /**
- * Calls to backend servers over Node's `http`.
+ * Sends requests to backend servers over Node's `http`.
  *
- * The one promise that all outcomes rest on: a result of kind `not-sent` means that no byte of the
- * call left this process, nor ever will. To hold it, the request is written only once the
- * connection stands, in the same tick as the caller's last check (`beforeSend`).
+ * Invariant on which all request outcomes rely: `not-sent` means that no byte of the request has left
+ * this process or ever will. For this, the request is written only once the connection is established,
+ * in the same tick as the caller's last check (`beforeSend`).
  */
 
 import { Agent, request } from 'node:http';
@@ -19,95 +19,100 @@
 import type { ConnectLimit } from './connect-limit';
 
 export interface UpstreamOptions {
-  /** How long a connection may take to be made at most, milliseconds; less where others take less. */
+  /** Maximum connect timeout, milliseconds; it adapts downwards to measured connect times. */
   readonly connectTimeoutMs?: number;
-  /** Idle connections kept to one address. */
+  /** Maximum number of idle connections per address. */
   readonly maxIdle?: number;
-  /** An idle connection is closed after so long, milliseconds, or earlier where the server says so. */
+  /** Idle timeout of a connection, milliseconds; shorter if the server's `Keep-Alive` header says so. */
   readonly idleMs?: number;
 }
 
-/** One call to one backend server. */
+/** One request to one backend server. */
 export interface UpstreamCall {
   /** `host:port`. */
   readonly address: string;
   readonly method: string;
   readonly path: string;
-  /** By name, or names and values in turn, sent as they are. */
+  /** By name, or alternating names and values, sent unchanged. */
   readonly headers: OutgoingHttpHeaders | readonly string[];
   readonly body: Uint8Array;
-  /** Whether to use a connection that no other call uses, before or after. */
+  /** Use a new connection that no other call shares. */
   readonly ownConnection: boolean;
-  /** Runs in the tick of the write; an error here means that nothing is sent. */
+  /** Called in the tick of the write; if it returns an error, nothing is sent. */
   readonly beforeSend: () => StepError | undefined;
   /** Aborting destroys the connection. */
   readonly signal: AbortSignal;
 }
 
-/** Nothing left this process, nor ever will. */
+/** No byte was sent or ever will be. */
 export interface NotSent {
   readonly kind: 'not-sent';
   readonly error: StepError;
 }
 
-/** Bytes left and no answer head came back. */
+/** The request was at least partly sent, and no response headers arrived. */
 export interface Lost {
   readonly kind: 'lost';
   readonly error: StepError;
 }
 
-/** An answer head is there; the body follows. */
+/** Response headers arrived; the body follows. */
 export interface Answered {
   readonly kind: 'answered';
   readonly res: IncomingMessage;
   /** Whether the connection served other calls before this one. */
   readonly reused: boolean;
   /**
-   * Whether the connection has failed since. An answer without a length ends with its connection, and
-   * Node's parser takes a reset for that end: without this it would pass for a whole one.
+   * Whether the connection has failed since. A response without a length ends when its connection closes,
+   * and Node's parser treats a reset as that end: without this check it would count as complete.
    */
   readonly hasFailed: () => boolean;
-  /** Tears the connection, so that no other call gets it. */
+  /** Destroys the connection, so that no other call reuses it. */
   readonly destroy: () => void;
 }
 
 export type UpstreamResult = NotSent | Lost | Answered;
 
+/** Client for backend servers, with connection pooling. */
 export interface Upstream {
   send(call: UpstreamCall): Promise<UpstreamResult>;
-  /** Tears all connections. */
+  /** Destroys all connections. */
   close(): void;
 }
 
 const DEFAULTS = { connectTimeoutMs: 1_000, maxIdle: 64, idleMs: 60_000 } as const;
 
-type Connected = (err: Error | null, socket?: Socket) => void;
+type ConnectCallback = (err: Error | null, socket?: Socket) => void;
 
-/** Sockets whose end was a reset. */
+/** Sockets closed by a reset that was reported as an ordinary end. */
 const resetSockets = new WeakSet<Socket>();
 
 /**
- * Where the last bytes and a reset are found by the same poll, libuv reads the bytes and reports the
- * hang-up as an ordinary end. The kernel knows better: a connection that was reset has no peer any more.
+ * When one poll finds both the last bytes and a reset, libuv reads the bytes and reports an ordinary end.
+ * The kernel still shows the reset: the socket then has no remote address any more.
  */
-function noteReset(socket: Socket): void {
+function detectReset(socket: Socket): void {
   socket.once('end', () => {
     if (socket.remoteAddress === undefined) resetSockets.add(socket);
   });
 }
 
-/** Hands a socket to the agent only when it is connected. */
-function connectFirst(limits: ConnectLimit, options: NetConnectOpts, done: Connected): undefined {
+/** Passes a socket to the agent only once it is connected. */
+function connectFirst(
+  limits: ConnectLimit,
+  options: NetConnectOpts,
+  done: ConnectCallback,
+): undefined {
   const startedAt = performance.now();
   const socket = connect({ ...options, noDelay: true });
-  noteReset(socket);
+  detectReset(socket);
   const onFail = (err: Error): void => {
     limit.clear();
     socket.destroy();
     done(err);
   };
   const limit = createTimeout(limits.limitMs(), () => {
-    onFail(fail('unavailable', 'connection not made in time', { step: 'connect' }));
+    onFail(fail('unavailable', 'connect timeout', { step: 'connect' }));
   });
   socket.once('error', onFail);
   socket.once('connect', () => {
@@ -121,14 +126,14 @@
 
 type Pooling = Pick<Agent, 'keepSocketAlive' | 'reuseSocket'>;
 
-/** Node's own pooling. The first tells the pool whether to keep a connection, which its types leave out. */
+/** Node's own pooling methods. `keepSocketAlive` returns a boolean, which Node's types omit. */
 const nodePooling = Agent.prototype as unknown as {
   readonly keepSocketAlive: (this: Agent, socket: object) => boolean;
   readonly reuseSocket: (this: Agent, socket: object, req: object) => void;
 };
 
-/** Bytes on an idle connection belong to no call: the connection is closed, not reused. */
-function guardIdle(agent: Agent): Pooling {
+/** Destroys a pooled connection that receives data while idle: the bytes belong to no request. */
+function rejectIdleData(agent: Agent): Pooling {
   const guards = new WeakMap<object, () => void>();
   return {
     keepSocketAlive: (socket) => {
@@ -150,10 +155,10 @@
 function createAgent(keepAlive: boolean, opts: Required<UpstreamOptions>): Agent {
   const agent = new Agent({ keepAlive, maxFreeSockets: opts.maxIdle, timeout: opts.idleMs });
   const limits = createConnectLimit(opts.connectTimeoutMs);
-  const open = (options: NetConnectOpts, done: Connected): undefined => {
+  const open = (options: NetConnectOpts, done: ConnectCallback): undefined => {
     connectFirst(limits, options, done);
   };
-  return Object.assign(agent, { createConnection: open, ...guardIdle(agent) });
+  return Object.assign(agent, { createConnection: open, ...rejectIdleData(agent) });
 }
 
 function upstreamError(code: ErrorCode, call: UpstreamCall, cause: unknown): StepError {
@@ -162,6 +167,7 @@
   return fail(code, detail, { step, peer: call.address, cause });
 }
 
+/** Calls `settle` with the outcome of `call`; only the first call of `settle` counts. */
 function settleCall(
   call: UpstreamCall,
   req: ClientRequest,
@@ -185,7 +191,7 @@
   req.on('error', onFail);
   req.once('socket', () => {
     const refusal = call.signal.aborted
-      ? fail('cancelled', 'given up', { step: 'send' })
+      ? fail('cancelled', 'call aborted', { step: 'send' })
       : call.beforeSend();
     if (refusal !== undefined) {
       req.destroy();
@@ -207,7 +213,7 @@
   });
 }
 
-/** Makes the adapter. Idle connections are reused only after a whole answer. */
+/** Creates the client. A connection is reused only after a complete response. */
 export function createUpstream(options: UpstreamOptions = {}): Upstream {
   const opts = { ...DEFAULTS, ...options };
   const shared = createAgent(true, opts);
