--- a/tests/connect-limit.test.ts
+++ b/tests/connect-limit.test.ts
@@ -2,18 +2,18 @@
 
 import { createConnectLimit } from '../src/adapters/upstream/connect-limit';
 
-describe('the time for a connection to be made', () => {
-  it('is the longest before anything is known', () => {
+describe('the connect timeout', () => {
+  it('is the maximum before the first connection', () => {
     expect(createConnectLimit(400).limitMs()).toBe(400);
   });
 
-  it('is a fraction of it on a fast network, where a dark server is noticed soon', () => {
+  it('falls to its minimum on a fast network, so that an unreachable server is detected soon', () => {
     const limit = createConnectLimit(400);
     for (let n = 0; n < 20; n++) limit.note(2);
     expect(limit.limitMs()).toBe(100);
   });
 
-  it('grows with what connections take, up to the longest', () => {
+  it('grows with measured connect times, up to the maximum', () => {
     const limit = createConnectLimit(400);
     for (let n = 0; n < 50; n++) limit.note(20);
     expect(limit.limitMs()).toBeCloseTo(240);
--- a/tests/store-call.test.ts
+++ b/tests/store-call.test.ts
@@ -10,12 +10,12 @@
 const TIMEOUT_MS = 200;
 const READ: StoreCall = { step: 'read', method: 'GET', path: '/', writes: false };
 
-/** A store whose connections can fall silent for good; it answers on new ones. */
-const silent = new Set<Socket>();
+/** Connections on which the store no longer answers; it still answers on new ones. */
+const unresponsive = new Set<Socket>();
 const open = new Set<Socket>();
 const server = createServer((req, res) => {
-  if (silent.has(req.socket)) return;
-  // Both connections of two calls at a time are in use.
+  if (unresponsive.has(req.socket)) return;
+  // The delay makes concurrent calls open separate connections.
   setTimeout(() => res.end('{}'), 20);
 });
 server.on('connection', (socket) => {
@@ -37,25 +37,25 @@
   return createStoreCaller({ address: `127.0.0.1:${port}`, timeoutMs: TIMEOUT_MS });
 }
 
-describe('calls of a store whose connections have fallen silent', () => {
-  it('cost one time limit, not one for each connection', async () => {
+describe('calls to a store whose pooled connections no longer answer', () => {
+  it('time out once, not once per connection', async () => {
     const call = createCaller();
     const first = await Promise.all([call(READ), call(READ), call(READ)]);
     expect(first.every((result) => result.isOk())).toBe(true);
-    for (const socket of open) silent.add(socket);
+    for (const socket of open) unresponsive.add(socket);
     expect((await call(READ)).isErr()).toBe(true);
     expect((await call(READ)).isOk()).toBe(true);
   });
 
-  it('end when their caller gives them up', async () => {
+  it('end when the caller aborts them', async () => {
     const call = createCaller();
     expect((await call(READ)).isOk()).toBe(true);
-    for (const socket of open) silent.add(socket);
+    for (const socket of open) unresponsive.add(socket);
     const cancel = new AbortController();
-    const given = call({ ...READ, timeoutMs: 60_000, signal: cancel.signal });
+    const pending = call({ ...READ, timeoutMs: 60_000, signal: cancel.signal });
     await pause(30);
     cancel.abort();
-    expect((await given).isErr()).toBe(true);
+    expect((await pending).isErr()).toBe(true);
     expect((await call(READ)).isOk()).toBe(true);
   });
 });
--- a/tests/telemetry.test.ts
+++ b/tests/telemetry.test.ts
@@ -8,7 +8,7 @@
 import { readJson } from '../stand-ins/shared/server';
 
 describe('metrics', () => {
-  it('show counters and gauges by label in the Prometheus text format', async () => {
+  it('render counters and gauges with labels in the Prometheus text format', async () => {
     const metrics = createMetrics({ ofProcess: false });
     metrics.count('requests_total', { outcome: 'done' });
     metrics.count('requests_total', { outcome: 'done' }, 2);
@@ -21,7 +21,7 @@
     expect(text).toContain('in_flight 7');
   });
 
-  it('show latencies as quantiles with sum and count', async () => {
+  it('render latencies as summaries with quantiles, sum and count', async () => {
     const metrics = createMetrics({ ofProcess: false, now: () => 0 });
     for (let ms = 1; ms <= 100; ms += 1) metrics.observe('first_token_ms', ms, { model: 'm' });
     const text = await metrics.render();
@@ -32,7 +32,7 @@
     expect(Math.abs(Number(p95) - 95)).toBeLessThan(1);
   });
 
-  it('forget latencies of earlier minutes in the quantiles alone', async () => {
+  it('drop old latencies from the quantiles, but not from the count', async () => {
     let now = 0;
     const metrics = createMetrics({ ofProcess: false, now: () => now });
     metrics.observe('ms', 500);
@@ -43,7 +43,7 @@
     expect(text).toContain('ms_count 2');
   });
 
-  it('bound the label sets of a metric', async () => {
+  it('limit the label sets of a metric and count the rest as overflow', async () => {
     const metrics = createMetrics({ ofProcess: false });
     for (let i = 0; i < 5000; i += 1) metrics.count('c', { id: String(i) });
     const lines = (await metrics.render()).split('\n');
@@ -53,7 +53,7 @@
 });
 
 describe('logger', () => {
-  it('writes JSON lines at its level, without secrets', () => {
+  it('writes JSON lines at or above its level, without secret fields', () => {
     const lines: string[] = [];
     const write = (line: string): void => {
       lines.push(line);
@@ -102,7 +102,7 @@
     server.close();
   });
 
-  it('exports a tree of spans below the one of the caller', async () => {
+  it('exports spans as descendants of the span of the caller', async () => {
     await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
     const { port } = server.address() as AddressInfo;
     const otlpUrl = `http://127.0.0.1:${port}/v1/traces`;
@@ -120,13 +120,13 @@
     expect(second).toMatchObject({ name: 'entry', parentSpanId: 'b7ad6b7169203331' });
   });
 
-  it('passes the decision of the caller on where nothing is exported', () => {
+  it('propagates the sampling decision of the caller when nothing is exported', () => {
     const tracer = createTracer({ service: 'nutmegstack' });
     expect(tracer.start('entry', CALLER).traceparent).toMatch(/-01$/);
     expect(tracer.start('entry').traceparent).toMatch(/^00-[\da-f]{32}-[\da-f]{16}-00$/);
   });
 
-  it('starts a trace of its own where the header is malformed', () => {
+  it('starts a new trace if the header is malformed', () => {
     const tracer = createTracer({ service: 'nutmegstack' });
     expect(tracer.start('entry', 'rubbish').traceparent).toMatch(/^00-[\da-f]{32}-/);
   });
--- a/tests/utils.test.ts
+++ b/tests/utils.test.ts
@@ -4,7 +4,7 @@
 import { compareText, hashParts } from '../src/utils/common';
 
 describe('hashParts', () => {
-  it('keeps parts apart', () => {
+  it('distinguishes parts with the same concatenation', () => {
     expect(hashParts('ab', 'c')).not.toBe(hashParts('a', 'bc'));
   });
 });
@@ -19,7 +19,7 @@
   it.each([
     ['10.0.0.1:80', { host: '10.0.0.1', port: 80 }],
     ['[::1]:7302', { host: '::1', port: 7302 }],
-  ])('takes %s apart', (address, parts) => {
+  ])('splits %s into host and port', (address, parts) => {
     expect(parseAddress(address)).toEqual(parts);
   });
 });
