--- a/src/app/admin/admin.ts
+++ b/src/app/admin/admin.ts
@@ -26,7 +26,7 @@
 
 const PREFIX = '/admin/v1/';
 
-/** By method and first segment; with a `/` where the path goes on to name something. */
+/** Routes by method and first path segment, with a trailing `/` where a name follows. */
 const ROUTES: Readonly<Record<string, Route>> = {
   'PUT config': submitConfig,
   'GET config': readConfig,
@@ -42,8 +42,9 @@
 
 interface ResolvedRoute {
   readonly route: Route | undefined;
-  /** Whether the path exists with another method. */
+  /** Whether the path exists with this or another method. */
   readonly isKnownPath: boolean;
+  /** Decoded rest of the path, or empty. */
   readonly name: string;
 }
 
@@ -56,10 +57,10 @@
 }
 
 function resolveRoute(method: string, path: string): ResolvedRoute {
-  const rest = path.startsWith(PREFIX) ? path.slice(PREFIX.length) : '';
-  const slash = rest.indexOf('/');
-  const resource = slash === -1 ? rest : rest.slice(0, slash + 1);
-  const name = slash === -1 ? '' : decodeName(rest.slice(slash + 1));
+  const resourcePath = path.startsWith(PREFIX) ? path.slice(PREFIX.length) : '';
+  const slash = resourcePath.indexOf('/');
+  const resource = slash === -1 ? resourcePath : resourcePath.slice(0, slash + 1);
+  const name = slash === -1 ? '' : decodeName(resourcePath.slice(slash + 1));
   const key = `${method} ${resource}`;
   const route = Object.hasOwn(ROUTES, key) ? ROUTES[key] : undefined;
   const known = Object.keys(ROUTES).some((other) => other.endsWith(` ${resource}`));
@@ -81,26 +82,28 @@
   const { route, isKnownPath: known, name } = resolveRoute(req.method ?? 'GET', url.pathname);
   if (route === undefined) {
     const code = known ? 'method-not-allowed' : 'not-found';
-    return errAsync(toRefusal(fail(code, 'no such route', { step: 'admin-route' })));
+    return errAsync(
+      toRefusal(fail(code, 'no route for this method and path', { step: 'admin-route' })),
+    );
   }
   const maxBodyBytes = deps.maxBodyBytes ?? DEFAULT_MAX_BODY_BYTES;
   return route({ deps, req, url, operator: operator.value, name, maxBodyBytes });
 }
 
-/** Creates the handler of the administration address. */
+/** Creates the HTTP handler of the API; also listens for drain requests of other daemons. */
 export function createAdmin(deps: AdminDeps): HttpHandler {
   deps.membership.direct.received
     .pipe(filter(({ topic }) => topic === DRAIN_TOPIC))
     .subscribe(({ from }) => {
-      deps.logger.info('asked to stop by another daemon', { step: 'drain', peer: from });
+      deps.logger.info('stop requested by another daemon', { step: 'drain', peer: from });
       void deps.drain();
     });
   return (req, res) => {
-    // A route that breaks its own promise answers with an error all the same.
+    // A route that throws is answered with an error as well.
     void Promise.resolve(dispatch(deps, req))
       .catch((cause: unknown) => {
         deps.logger.error('administration request failed', { step: 'admin-route' });
-        const message = 'the request could not be worked through';
+        const message = 'the request failed with an unexpected error';
         return err(toRefusal(fail('internal', message, { step: 'admin-route', cause })));
       })
       .then((result) => {
--- a/src/app/admin/deps.ts
+++ b/src/app/admin/deps.ts
@@ -1,4 +1,4 @@
-/** What the administration API works on. */
+/** Dependencies of the administration API. */
 
 import type { Logger } from '../../ports/runtime';
 import type { ConfigPart, ControlPart, MembershipPart, RequestPart } from '../parts';
@@ -9,11 +9,11 @@
   readonly membership: MembershipPart;
   readonly requests: RequestPart;
   readonly logger: Logger;
-  /** SHA-256 (hex) of a key with which the first configuration may be submitted. */
+  /** SHA-256 (hex) of a platform operator's key that is valid before any configuration exists. */
   readonly bootstrapKeyHash?: string;
-  /** Starts the planned stop of this daemon. */
+  /** Starts the graceful shutdown of this daemon. */
   readonly drain: () => Promise<void>;
-  /** Longest body, bytes. */
+  /** Maximum size of a request body, bytes. */
   readonly maxBodyBytes?: number;
 }
 
--- a/src/app/admin/documents.ts
+++ b/src/app/admin/documents.ts
@@ -22,14 +22,15 @@
 
 export type JsonRecord = Readonly<Record<string, Json>>;
 
-/** Changes that are made anew when another operator was faster. */
+/** Number of times that a change is retried after a conflict with another change. */
 const MAX_CONFLICT_RETRIES = 5;
 
+/** The value if it is an object, otherwise an empty one. */
 export function asRecord(value: Json | undefined): JsonRecord {
   return isRecord(value) ? value : {};
 }
 
-/** What the operator may see of a document. */
+/** The part of a document that the operator may see. */
 function visibleDocument(operator: Operator, document: Json): Json {
   const { organisation } = operator;
   return organisation === undefined ? document : scopeDocument(document, organisation);
@@ -59,11 +60,11 @@
 
 /** `PUT /admin/v1/config`. */
 export const submitConfig: Route = ({ deps, req, operator, maxBodyBytes }) => {
-  const ids = readChangeId(req).andThen((changeId) =>
+  const parsed = readChangeId(req).andThen((changeId) =>
     readIfMatch(req).map((ifVersion) => ({ changeId, ifVersion })),
   );
-  if (ids.isErr()) return errAsync(ids.error);
-  const { changeId, ifVersion } = ids.value;
+  if (parsed.isErr()) return errAsync(parsed.error);
+  const { changeId, ifVersion } = parsed.value;
   const { organisation } = operator;
   return readDocument(req, maxBodyBytes)
     .andThen((document) => (organisation === undefined ? validateDocument(document) : ok(document)))
@@ -81,12 +82,10 @@
   if (text === null) return ok(undefined);
   const version = Number(text);
   if (Number.isSafeInteger(version) && version > 0) return ok(brandAs<ConfigVersion>(version));
-  return err(
-    fail('bad-request', 'version must be a whole number above 0', { step: 'config-read' }),
-  );
+  return err(fail('bad-request', 'version must be an integer above 0', { step: 'config-read' }));
 }
 
-/** `GET /admin/v1/config`, with `?version=` for an earlier one. */
+/** `GET /admin/v1/config`, with `?version=` for an earlier version. */
 export const readConfig: Route = ({ deps, url, operator }) => {
   const version = parseVersion(url.searchParams.get('version'));
   if (version.isErr()) return errAsync(toRefusal(version.error));
@@ -107,18 +106,22 @@
     .map((versions) => ({ status: 200, body: { versions } }))
     .mapErr(toRefusal);
 
-/** One change made from the newest document. */
+/** A change computed from the newest document. */
 export interface Amendment {
   readonly changeId: string;
-  /** Refused unless this version is in force. */
+  /** The change is refused unless this version is the newest. */
   readonly ifVersion?: ConfigVersion;
   /** Limits the change to this organisation's parameters. */
   readonly organisation?: string;
+  /** Returns the changed document, or why it is refused. */
   readonly change: (document: JsonRecord) => Result<Json, Refusal>;
 }
 
-/** Reads the newest document, changes it and submits it; again when another change came between. */
-export function amend(deps: AdminDeps, amendment: Amendment, races = 0): RouteResult {
+/**
+ * Reads the newest document, changes it and submits it. Without `ifVersion`, retries when another
+ * change was accepted in between.
+ */
+export function amend(deps: AdminDeps, amendment: Amendment, retries = 0): RouteResult {
   const { changeId, ifVersion, organisation, change } = amendment;
   const read: ResultAsync<AcceptedConfig, Refusal> = deps.config.read().mapErr(toRefusal);
   return read
@@ -136,23 +139,27 @@
       }),
     )
     .orElse((refusal): RouteResult => {
-      const raced = refusal.error.code === 'conflict' && ifVersion === undefined;
-      return raced && races < MAX_CONFLICT_RETRIES ? amend(deps, amendment, races + 1) : errAsync(refusal);
+      const canRetry = refusal.error.code === 'conflict' && ifVersion === undefined;
+      return canRetry && retries < MAX_CONFLICT_RETRIES
+        ? amend(deps, amendment, retries + 1)
+        : errAsync(refusal);
     });
 }
 
 function unknownOrganisation(id: string): Refusal {
-  return toRefusal(fail('not-found', `no organisation ${id}`, { step: 'config-amend' }));
+  return toRefusal(
+    fail('not-found', `organisation ${id} does not exist`, { step: 'config-amend' }),
+  );
 }
 
 /** `PATCH /admin/v1/organisations/{id}`: a merge patch of one organisation's parameters. */
 export const amendOrganisation: Route = ({ deps, req, operator, name, maxBodyBytes }) => {
-  const ids = requireOrganisation(operator, name)
+  const parsed = requireOrganisation(operator, name)
     .mapErr(toRefusal)
     .andThen(() => readChangeId(req))
     .andThen((changeId) => readIfMatch(req).map((ifVersion) => ({ changeId, ifVersion })));
-  if (ids.isErr()) return errAsync(ids.error);
-  const { changeId, ifVersion } = ids.value;
+  if (parsed.isErr()) return errAsync(parsed.error);
+  const { changeId, ifVersion } = parsed.value;
   return readObject(req, maxBodyBytes).andThen((patch) =>
     amend(deps, {
       changeId,
@@ -168,7 +175,7 @@
   );
 };
 
-/** `GET /admin/v1/organisations/{id}`: its parameters as written. */
+/** `GET /admin/v1/organisations/{id}`: its own parameters, without those of its template. */
 export const readOrganisation: Route = ({ deps, operator, name }) => {
   const allowed = requireOrganisation(operator, name);
   if (allowed.isErr()) return errAsync(toRefusal(allowed.error));
--- a/src/app/admin/exchange.ts
+++ b/src/app/admin/exchange.ts
@@ -1,4 +1,4 @@
-/** Requests and answers of the administration API: bodies, headers, errors as JSON. */
+/** Requests and responses of the administration API: bodies, headers, errors as JSON. */
 
 import { randomUUID } from 'node:crypto';
 import type { IncomingMessage, ServerResponse } from 'node:http';
@@ -14,7 +14,7 @@
 import type { StepError } from '../../utils/errors';
 import { isRecord } from '../../utils/is';
 
-/** An answer with a JSON body. */
+/** A response with a JSON body. */
 export interface RouteResponse {
   readonly status: number;
   readonly body: unknown;
@@ -27,6 +27,7 @@
   readonly fields?: readonly FieldError[];
 }
 
+/** What a route returns. */
 export type RouteResult = ResultAsync<RouteResponse, Refusal>;
 
 const RETRY_AFTER_SECONDS = '2';
@@ -47,7 +48,7 @@
   for await (const part of req as AsyncIterable<Buffer>) {
     bytes += part.byteLength;
     if (bytes > maxBytes) {
-      const message = `a body has at most ${maxBytes} bytes`;
+      const message = `the request body exceeds ${maxBytes} bytes`;
       return err(toRefusal(fail('body-too-large', message, { step: 'admin-body' })));
     }
     parts.push(part);
@@ -55,15 +56,17 @@
   return ok(Buffer.concat(parts).toString('utf8'));
 }
 
-/** The body as a document; YAML and so JSON. */
+/** Parses the body as a document, in YAML or JSON. */
 export function readDocument(req: IncomingMessage, maxBytes: number): ResultAsync<Json, Refusal> {
   const text = ResultAsync.fromPromise(readBody(req, maxBytes), () =>
-    badRequest('the body was cut short', 'admin-body'),
+    badRequest('the connection closed before the end of the body', 'admin-body'),
   );
-  return text.andThen((result) => result).andThen((source) => parseDocument(source).mapErr(toRefusal));
+  return text
+    .andThen((result) => result)
+    .andThen((source) => parseDocument(source).mapErr(toRefusal));
 }
 
-/** The body as an object. */
+/** Parses the body as an object. */
 export function readObject(
   req: IncomingMessage,
   maxBytes: number,
@@ -80,16 +83,19 @@
   return Array.isArray(value) ? value[0] : value;
 }
 
-/** The version in `If-Match`, as the API gives it in `ETag`. */
+/** The version in `If-Match`, in the form that the API returns in `ETag`. */
 export function readIfMatch(req: IncomingMessage): Result<ConfigVersion | undefined, Refusal> {
   const text = singleHeader(req, 'if-match');
   if (text === undefined) return ok(undefined);
   const version = ETAG.exec(text)?.[1];
-  if (version === undefined) return err(badRequest('If-Match must be a version', 'admin-if-match'));
+  if (version === undefined)
+    return err(
+      badRequest('If-Match must be a version number, as returned in ETag', 'admin-if-match'),
+    );
   return ok(brandAs<ConfigVersion>(Number(version)));
 }
 
-/** The submitter's id of a change; a new one where none was given. */
+/** The id of a change in `Nutmegstack-Change-Id`, or a new one where there is none. */
 export function readChangeId(req: IncomingMessage): Result<string, Refusal> {
   const text = singleHeader(req, 'nutmegstack-change-id');
   if (text === undefined) return ok(randomUUID());
@@ -102,7 +108,7 @@
   return { etag: `"${version}"` };
 }
 
-/** Whether the change may have taken effect although the answer is an error. */
+/** Whether the change may have taken effect in spite of the error. */
 function outcomeOf({ code }: StepError): 'unknown' | 'not-run' {
   return code === 'store-unknown' || code === 'internal' ? 'unknown' : 'not-run';
 }
@@ -110,11 +116,11 @@
 function errorResponse({ error, fields }: Refusal): RouteResponse {
   const { code, message, step, peer } = error;
   const status = statusOf(code);
-  const retry = status === 429 || status === 503;
+  const isRetryable = status === 429 || status === 503;
   return {
     status,
     body: { error: { code, message, step, peer, outcome: outcomeOf(error), fields } },
-    headers: retry ? { 'retry-after': RETRY_AFTER_SECONDS } : {},
+    headers: isRetryable ? { 'retry-after': RETRY_AFTER_SECONDS } : {},
   };
 }
 
@@ -128,15 +134,15 @@
   res.end(text);
 }
 
-/** Sends what a route came to. */
+/** Sends the result of a route. */
 export function sendResult(
   req: IncomingMessage,
   res: ServerResponse,
   result: Result<RouteResponse, Refusal>,
 ): void {
   if (res.destroyed) return;
-  // What is left of a body that was refused is not read.
-  const closing = req.complete ? {} : { connection: 'close' };
-  const answer = result.match((given) => given, errorResponse);
-  send(res, { ...answer, headers: { ...answer.headers, ...closing } });
+  // The remaining body of a refused request is not read, so the connection can't be reused.
+  const closeHeaders = req.complete ? {} : { connection: 'close' };
+  const answer = result.match((response) => response, errorResponse);
+  send(res, { ...answer, headers: { ...answer.headers, ...closeHeaders } });
 }
--- a/src/app/admin/keys.ts
+++ b/src/app/admin/keys.ts
@@ -1,4 +1,4 @@
-/** Routes for keys. Only hashes come here; the keys themselves stay with the operator. */
+/** Routes that list, add and remove keys. Only hashes are sent; operators keep the keys. */
 
 import { err, errAsync, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
@@ -18,7 +18,10 @@
   return Array.isArray(keys) ? (keys as readonly Json[]).map(asRecord) : [];
 }
 
-/** Errors: `forbidden` unless the key is one of the operator's own organisation. */
+/**
+ * Errors: `forbidden` unless the key belongs to the operator's own organisation, or the operator is
+ * one of the platform.
+ */
 function requireOwnKey(operator: Operator, { organisation }: JsonRecord): Result<void, Refusal> {
   const allowed =
     typeof organisation === 'string'
@@ -27,7 +30,7 @@
   return allowed.mapErr(toRefusal);
 }
 
-/** `GET /admin/v1/keys`: hashes with what they grant. */
+/** `GET /admin/v1/keys`: the hashes of keys and what each grants. */
 export const listKeys: Route = ({ deps, operator }) =>
   deps.config
     .read()
@@ -60,9 +63,9 @@
     change: (document) => {
       const keys = keysOf(document);
       const found = keys.find(({ hash }) => hash === name);
-      // Another organisation's key looks as if it were not there.
+      // Another organisation's key is reported as unknown, so that its existence isn't revealed.
       if (found === undefined || requireOwnKey(operator, found).isErr()) {
-        return err(toRefusal(fail('not-found', 'no such key', { step: 'config-amend' })));
+        return err(toRefusal(fail('not-found', 'unknown key hash', { step: 'config-amend' })));
       }
       return ok({ ...document, keys: keys.filter((key) => key !== found) });
     },
--- a/src/app/admin/merge-patch.ts
+++ b/src/app/admin/merge-patch.ts
@@ -5,7 +5,7 @@
 
 type JsonRecord = Readonly<Record<string, Json>>;
 
-/** `target` with the fields of `patch` put in; a field that is null in `patch` is taken out. */
+/** Merges the fields of `patch` into `target`; a field that is null in `patch` is removed. */
 export function mergePatch(target: Json | undefined, patch: Json): Json {
   if (!isRecord(patch)) return patch;
   const merged = new Map(Object.entries(isRecord(target) ? (target as JsonRecord) : {}));
--- a/src/app/admin/metrics-page.ts
+++ b/src/app/admin/metrics-page.ts
@@ -1,6 +1,6 @@
 /**
- * `GET /metrics` on the operators' address, for operators of the platform alone: totals carry the
- * names of organisations, which no other organisation may learn.
+ * `GET /metrics` on the administration address, only for operators of the platform: the metrics are
+ * labelled with names of organisations, which no other organisation may learn.
  */
 
 import { err } from 'neverthrow';
@@ -19,11 +19,11 @@
 const PATH = '/metrics';
 const CONTENT_TYPE = 'text/plain; version=0.0.4; charset=utf-8';
 
-/** Answers `/metrics` and hands everything else on. */
-export function withMetrics(opts: MetricsPageOptions, rest: HttpHandler): HttpHandler {
+/** Handles `GET /metrics` and passes all other requests to `next`. */
+export function withMetrics(opts: MetricsPageOptions, next: HttpHandler): HttpHandler {
   return (req, res) => {
     if (req.method !== 'GET' || req.url !== PATH) {
-      rest(req, res);
+      next(req, res);
       return;
     }
     const allowed = authenticate(
--- a/src/app/admin/operations.ts
+++ b/src/app/admin/operations.ts
@@ -1,4 +1,4 @@
-/** Routes that show what runs and take instances and daemons out of service. */
+/** Routes that show the status, and drain instances and daemons. */
 
 import { errAsync, okAsync } from 'neverthrow';
 
@@ -11,11 +11,14 @@
 import type { RouteResult } from './exchange';
 import type { Route } from './route';
 
-/** Topic of the message by which one daemon asks another to stop. */
+/** Topic of the direct message that asks another daemon to stop. */
 export const DRAIN_TOPIC = 'admin-drain';
 const STEP = 'drain';
 
-/** `GET /admin/v1/status`: each daemon with the version in force on it; for the platform's operators all else too. */
+/**
+ * `GET /admin/v1/status`: each daemon with the configuration version in force on it. Operators of the
+ * platform also get the requests in flight and the control plane's status.
+ */
 export const readStatus: Route = ({ deps, operator }) => {
   const { config, membership, requests, control } = deps;
   const daemons = membership
@@ -35,10 +38,10 @@
     return okAsync({ status: 202, body });
   }
   if (!membership.peers().some((peer) => peer.id === id)) {
-    return errAsync(toRefusal(fail('not-found', `no daemon ${id} is known`, { step: STEP })));
+    return errAsync(toRefusal(fail('not-found', `daemon ${id} is unknown here`, { step: STEP })));
   }
   if (membership.direct.send(id, DRAIN_TOPIC, {})) return okAsync({ status: 202, body });
-  const message = 'the daemon cannot be reached from here';
+  const message = 'the daemon is not reachable from this one';
   return errAsync(toRefusal(fail('unavailable', message, { step: STEP, peer: id })));
 }
 
@@ -60,7 +63,7 @@
     if (typeof instance === 'string' && daemon === undefined) {
       return drainInstance(deps, brandAs<InstanceId>(instance));
     }
-    const message = 'name either a daemon or an instance';
+    const message = 'the body must name either a daemon or an instance';
     return errAsync(toRefusal(fail('bad-request', message, { step: STEP })));
   });
 };
--- a/src/app/admin/route.ts
+++ b/src/app/admin/route.ts
@@ -1,4 +1,4 @@
-/** What a route of the administration API is given. */
+/** Types of the routes of the administration API. */
 
 import type { IncomingMessage } from 'node:http';
 
@@ -6,12 +6,13 @@
 import type { AdminDeps } from './deps';
 import type { RouteResult } from './exchange';
 
+/** A request and what is needed to handle it. */
 export interface RouteContext {
   readonly deps: AdminDeps;
   readonly req: IncomingMessage;
   readonly url: URL;
   readonly operator: Operator;
-  /** What the path names, for instance an organisation. */
+  /** Name or id in the path, such as an organisation. */
   readonly name: string;
   readonly maxBodyBytes: number;
 }
--- a/src/app/config/config.ts
+++ b/src/app/config/config.ts
@@ -1,4 +1,4 @@
-/** The configuration part of a daemon: takes changes in, keeps the newest in force, tells peers. */
+/** The configuration part of a daemon: submits changes, keeps the newest in force, informs peers. */
 
 import { ResultAsync, err, errAsync, ok, okAsync } from 'neverthrow';
 import type { Result } from 'neverthrow';
@@ -49,7 +49,7 @@
 function readVersion(table: Table, version: ConfigVersion): ResultAsync<AcceptedConfig, StepError> {
   return table.read([versionKey(version)]).andThen(([row]) => {
     if (row) return parseAccepted(row);
-    const message = `version ${version} is not kept`;
+    const message = `configuration version ${version} is not kept`;
     return err(fail('not-found', message, { step: 'config-read' }));
   });
 }
@@ -57,7 +57,7 @@
 function readHeadVersion(table: Table): ResultAsync<ConfigVersion, StepError> {
   return table.read([HEAD_KEY]).andThen(([row]) => {
     const origin = { step: 'config-read', peer: HEAD_KEY };
-    if (!row) return err(fail('not-found', 'no configuration was accepted yet', origin));
+    if (!row) return err(fail('not-found', 'no configuration has been accepted yet', origin));
     return parseHead(row)
       .map((head) => head.version)
       .mapErr(({ message }) => fail('unavailable', message, origin));
@@ -75,15 +75,15 @@
   });
 }
 
-/** Makes the configuration part; `start` it before use. */
+/** Creates the configuration part; call `start` before use. */
 export function createConfig(deps: ConfigDeps): ConfigPart {
   const settings: ConfigSettings = { ...CONFIG_DEFAULTS, ...deps.settings };
   const { table, gossip, clock } = deps;
   const sync = createConfigSync(deps, settings);
 
-  function takeEffect(accepted: AcceptedConfig): void {
+  function putInForce(accepted: AcceptedConfig): void {
     const { version, document } = accepted;
-    // A repeated change or one that changed nothing: peers know it already.
+    // A repeated change, or one that changed nothing: peers have this version already.
     if (version <= sync.state().mark.version) return;
     const push = createPush(sync.state(), version, document, settings.maxPushBytes);
     sync.dispatch({ kind: 'document', mark: push.mark, document, from: 'self' });
@@ -91,7 +91,10 @@
     gossip.publish(PUSH_TOPIC, `v/${version}`, encodePush(push), expiresAt);
   }
 
-  /** The document of an accepted change; a repeated one may have been merged when it was new. */
+  /**
+   * The document of an accepted change. A repeated change of an organisation is read from the table,
+   * because its document was merged when it was first accepted.
+   */
   function documentOf(
     change: Change,
     { version, document }: Accepted,
@@ -103,14 +106,14 @@
 
   function submit(request: ConfigChange): ResultAsync<AcceptedConfig, StepError> {
     const change = toChange(request);
-    const running = runSubmit({ ...deps, submitTimeoutMs: settings.submitTimeoutMs }, change);
-    return ResultAsync.fromSafePromise(running).andThen((answer) => {
-      if (answer.kind === 'accepted') return documentOf(change, answer).andTee(takeEffect);
+    const answered = runSubmit({ ...deps, submitTimeoutMs: settings.submitTimeoutMs }, change);
+    return ResultAsync.fromSafePromise(answered).andThen((answer) => {
+      if (answer.kind === 'accepted') return documentOf(change, answer).andTee(putInForce);
       return errAsync(fail(answer.code, answer.message, { step: 'config-submit' }));
     });
   }
 
-  /** The newest accepted version; the one in force here while the table is down. */
+  /** The newest accepted version; while the table is down, the one in force here. */
   function readNewest(): ResultAsync<AcceptedConfig, StepError> {
     return readHeadVersion(table)
       .andThen((version) => readVersion(table, version))
--- a/src/app/config/messages.ts
+++ b/src/app/config/messages.ts
@@ -1,4 +1,4 @@
-/** What daemons tell each other of the configuration, by gossip and directly. */
+/** Schemas of the configuration messages that daemons exchange by gossip and directly. */
 
 import * as z from 'zod';
 
@@ -8,11 +8,11 @@
 import { brandAs } from '../../core/ids';
 import type { Json } from '../../core/json';
 
-/** Gossip topic: one entry a version. */
+/** Gossip topic: one entry per version. */
 export const PUSH_TOPIC = 'config';
-/** Direct topic: asks for a document of at least some version. */
+/** Direct topic: requests a document of at least the given version. */
 export const WANT_TOPIC = 'config-want';
-/** Direct topic: the document in force at the sender. */
+/** Direct topic: the document in force at the sender, in answer to a request. */
 export const DOCUMENT_TOPIC = 'config-document';
 
 const json = z.custom<Json>((value) => value !== undefined);
@@ -21,7 +21,7 @@
   .min(1)
   .transform((n) => brandAs<ConfigVersion>(n));
 const mark = z.object({ version, hash: z.string() });
-/** The document before the first version is empty, as version 0. */
+/** Unlike `mark`, may be version 0: the empty document before the first version. */
 const base = z.object({ version: z.int().min(0), hash: z.string() });
 const entry = z.object({
   section: z.string(),
@@ -33,12 +33,13 @@
 const wantSchema = z.object({ version });
 const documentSchema = z.object({ mark, document: json });
 
+/** A document with its version and hash. */
 export interface DocumentMessage {
   readonly mark: VersionRef;
   readonly document: Json;
 }
 
-/** Drops fields without a value: JSON has no `undefined`. */
+/** Converts to JSON, dropping fields that are `undefined`. */
 function toJson(value: unknown): Json {
   return JSON.parse(JSON.stringify(value)) as Json;
 }
--- a/src/app/config/settings.ts
+++ b/src/app/config/settings.ts
@@ -1,17 +1,17 @@
-/** Settings of the configuration part, with defaults. */
+/** Settings of the configuration part and their defaults. */
 
 export interface ConfigSettings {
-  /** Period at which the head in the table is read. */
+  /** Interval at which the head row in the table is read. */
   readonly pollMs: number;
-  /** Share of a period by which each wait varies, so that daemons do not read together. */
+  /** Fraction by which each poll interval varies, so that daemons don't read in step. */
   readonly jitter: number;
-  /** Longest that a submitted change is tried before its outcome is unknown. */
+  /** Maximum time that a change is attempted; after it, the outcome is unknown. */
   readonly submitTimeoutMs: number;
-  /** A change larger than this is only announced; daemons fetch the document. */
+  /** Maximum bytes of a pushed delta; a larger change is only announced, and daemons fetch it. */
   readonly maxPushBytes: number;
-  /** Life of a pushed change in gossip. */
+  /** Time to live of a pushed change in gossip. */
   readonly pushTtlMs: number;
-  /** Fetches after an announcement are spread over this time for each daemon known. */
+  /** Fetches after an announcement are spread over this time multiplied by the number of daemons. */
   readonly fetchSpreadMsPerDaemon: number;
 }
 
--- a/src/app/config/submit.ts
+++ b/src/app/config/submit.ts
@@ -1,4 +1,4 @@
-/** Carries out the effects of one submitted change against the table. */
+/** Runs the submit reducer of one change, performing its effects on the table. */
 
 import { firstValueFrom, timer } from 'rxjs';
 
@@ -82,12 +82,17 @@
   return handler(deps, effect);
 }
 
-/** Tries the change until it is accepted, refused or given up; ends soon after `submitMs`. */
+/** Attempts a change until it is accepted, refused or times out soon after `submitTimeoutMs`. */
 export async function runSubmit(deps: SubmitDeps, change: Change): Promise<SubmitAnswer> {
   let step = startSubmit(change, later(deps.clock.now(), deps.submitTimeoutMs));
   for (;;) {
     const [effect] = step.effects;
-    if (!effect) return { kind: 'refused', code: 'internal', message: 'no answer was made' };
+    if (!effect)
+      return {
+        kind: 'refused',
+        code: 'internal',
+        message: 'the submit reducer ended without an answer',
+      };
     if (effect.kind === 'answer') return effect.answer;
     const event = await perform(deps, effect);
     step = reduceSubmit(step.state, event, { now: deps.clock.now() });
--- a/src/app/config/sync.ts
+++ b/src/app/config/sync.ts
@@ -1,4 +1,4 @@
-/** Keeps the configuration in force up to date: pushes, polls of the head, fetches. */
+/** Keeps the configuration in force up to date by pushes, polls of the head row and fetches. */
 
 import { BehaviorSubject, Subject, concatMap, defer, filter, repeat, takeUntil, timer } from 'rxjs';
 import type { Observable } from 'rxjs';
@@ -33,7 +33,7 @@
   readonly self: DaemonId;
   readonly table: Table;
   readonly gossip: Gossip;
-  /** Lets daemons fetch from each other while the table is down. */
+  /** Lets daemons fetch documents from each other while the table is down. */
   readonly direct?: DirectMessaging;
   readonly peers?: () => readonly PeerInfo[];
   readonly clock: Clock;
@@ -42,11 +42,12 @@
   readonly metrics?: Metrics;
 }
 
+/** The configuration in force, as the in-force reducer keeps it. */
 export interface ConfigSync {
   readonly changes: Observable<Config>;
   state(): InForceState;
   dispatch(event: InForceEvent): void;
-  /** Resolves after the first look at the table, whether it answered or not. */
+  /** Resolves after the first poll of the table, whether it succeeded or not. */
   start(): Promise<void>;
   stop(): void;
 }
@@ -58,7 +59,7 @@
   const fetching = new Set<number>();
   const alarms = new Map<AlarmCode, string>();
   let state = NOTHING_IN_FORCE;
-  let tableUp = true;
+  let isTableUp = true;
 
   const perform: {
     readonly [K in InForceEffect['kind']]: (effect: Extract<InForceEffect, { kind: K }>) => void;
@@ -75,7 +76,7 @@
       logger.error(message, { step: 'config', code });
     },
     fetch: ({ mark }) => {
-      fetchSoon(mark);
+      scheduleFetch(mark);
     },
   };
 
@@ -87,7 +88,7 @@
     }
   }
 
-  function fetchSoon(mark: VersionRef): void {
+  function scheduleFetch(mark: VersionRef): void {
     if (fetching.has(mark.version)) return;
     fetching.add(mark.version);
     const spreadMs = settings.fetchSpreadMsPerDaemon * (deps.peers?.().length ?? 0);
@@ -104,7 +105,7 @@
     const rows = await table.read([versionKey(mark.version)]);
     const row = rows.isOk() ? rows.value[0] : undefined;
     if (!row) {
-      askPeer(mark.version);
+      fetchFromPeer(mark.version);
       return;
     }
     const parsed = parseVersionRow(row);
@@ -116,61 +117,63 @@
     dispatch({ kind: 'document', mark: { version, hash }, document, from: 'table' });
   }
 
-  /** Asks one peer, picked at random from those that have the version. */
-  function askPeer(version: ConfigVersion): void {
-    const able = (deps.peers?.() ?? []).filter(
+  /** Requests the document from a random peer among those that have the version. */
+  function fetchFromPeer(version: ConfigVersion): void {
+    const holders = (deps.peers?.() ?? []).filter(
       (peer) => peer.id !== deps.self && peer.configVersion >= version,
     );
-    const peer = able[Math.floor(random.next() * able.length)];
+    const peer = holders[Math.floor(random.next() * holders.length)];
     if (peer) direct?.send(peer.id, WANT_TOPIC, { version });
   }
 
-  function askNewerPeer(): void {
+  function fetchNewerFromPeer(): void {
     const peers = deps.peers?.() ?? [];
     const newest = Math.max(0, ...peers.map((peer) => peer.configVersion));
-    if (newest > state.mark.version) askPeer((state.mark.version + 1) as ConfigVersion);
+    if (newest > state.mark.version) fetchFromPeer((state.mark.version + 1) as ConfigVersion);
   }
 
   async function poll(): Promise<void> {
     const before = state.mark;
     const rows = await table.read([HEAD_KEY]);
-    noteTable(rows.isOk());
+    noteTableState(rows.isOk());
     if (rows.isErr()) {
-      askNewerPeer();
+      fetchNewerFromPeer();
       return;
     }
     const [row] = rows.value;
-    if (row) seeHead(before, parseHead(row));
-    else if (before.version > 0) alarmAhead(before.version, 0);
+    if (row) handleHead(before, parseHead(row));
+    else if (before.version > 0) raiseAhead(before.version, 0);
   }
 
-  function seeHead(before: VersionRef, head: ReturnType<typeof parseHead>): void {
+  function handleHead(before: VersionRef, head: ReturnType<typeof parseHead>): void {
     if (head.isErr()) {
       const { key, message } = head.error;
       dispatch({ kind: 'unreadable', message: `${key}: ${message}` });
       return;
     }
     const { version, hash } = head.value;
-    if (version < before.version) alarmAhead(before.version, version);
+    if (version < before.version) raiseAhead(before.version, version);
     dispatch({ kind: 'head', mark: { version, hash } });
   }
 
-  /** Versions never fall in the table, so a peer told of one that was never accepted. */
-  function alarmAhead(held: number, head: number): void {
+  /** Versions in the table never decrease, so a peer sent one that was never accepted. */
+  function raiseAhead(held: number, head: number): void {
     const message = `version ${held} is in force here, but the table's head is ${head}`;
     perform.alarm({ kind: 'alarm', code: 'config-ahead', message });
   }
 
-  function noteTable(up: boolean): void {
-    if (up === tableUp) return;
-    tableUp = up;
-    const message = up ? 'table answers again' : 'table does not answer; configuration stays';
+  function noteTableState(isUp: boolean): void {
+    if (isUp === isTableUp) return;
+    isTableUp = isUp;
+    const message = isUp
+      ? 'table answers again'
+      : 'table does not answer; configuration in force is kept';
     logger.warn(message, { step: 'config-poll', version: state.mark.version });
   }
 
-  /** Sooner while the table does not answer, so that its return is seen in time. */
+  /** Halved while the table does not answer, so that its recovery is noticed sooner. */
   function nextPollMs(): number {
-    const pollMs = tableUp ? settings.pollMs : settings.pollMs / 2;
+    const pollMs = isTableUp ? settings.pollMs : settings.pollMs / 2;
     return pollMs * (1 - settings.jitter + 2 * settings.jitter * random.next());
   }
 
--- a/src/app/control/context.ts
+++ b/src/app/control/context.ts
@@ -63,7 +63,7 @@
   return { now: ctx.clock.now() };
 }
 
-/** Passes the result of a port call to `onOk` or `onErr`, counting the call as in flight until then. */
+/** Passes the result of a port call to a callback; the call counts as in flight until then. */
 export function settleCall<T>(
   ctx: ControlContext,
   call: ResultAsync<T, StepError>,
--- a/src/app/membership/membership.ts
+++ b/src/app/membership/membership.ts
@@ -1,4 +1,4 @@
-/** The membership part of a daemon: the reducer wired to clocks, links and the instance list. */
+/** The membership part of a daemon: connects its reducer to timers, links and the instance list. */
 
 import {
   EMPTY,
@@ -44,19 +44,21 @@
 } from '../parts';
 
 export interface MembershipPartSettings extends MembershipSettings {
-  /** Period of the reducer's clock. */
+  /** Interval between ticks of the reducer. */
   readonly tickMs: number;
-  /** Period at which the instance list is read. */
+  /** Average interval at which the instance list is read. */
   readonly listMs: number;
   readonly links: Partial<PeerSettings>;
 }
 
 export interface MembershipDeps {
-  /** `address`: where others find this daemon, and where it listens. */
+  /** Its `address` is what peers dial, and where this daemon listens unless `listen` is set. */
   readonly self: Identity;
-  /** Where it listens instead, if the two differ. */
+  /** Address to listen on, if it differs from the one that peers dial. */
   readonly listen?: string;
+  /** Addresses of daemons to join at start. */
   readonly seeds: readonly string[];
+  /** Shared secret that authenticates peers. */
   readonly secret: string;
   readonly tls?: PeerTls;
   readonly instances: InstanceList;
@@ -64,11 +66,12 @@
   readonly clock: Clock;
   readonly random: Random;
   readonly logger: Logger;
+  /** Opens a connection to an address; tests replace it. */
   readonly dial?: NonNullable<PeersOptions<PeerMessage>['dial']>;
   readonly settings?: Partial<MembershipPartSettings>;
 }
 
-/** The part, with what benchmarks measure. */
+/** The membership part, with traffic counters for benchmarks. */
 export interface Membership extends MembershipPart {
   traffic(): PeerTraffic;
 }
@@ -83,16 +86,16 @@
 function toPeerInfo(state: MembershipState): readonly PeerInfo[] {
   return [...state.members.values()]
     .flatMap((member): PeerInfo[] => {
-      const { id, address, zone, state: believed } = member;
-      if (believed === 'dead') return [];
-      const own = id === state.self.id;
-      const configVersion = own ? state.configVersion : member.configVersion;
-      return [{ id, address, zone, state: believed, configVersion }];
+      const { id, address, zone, state: memberState } = member;
+      if (memberState === 'dead') return [];
+      const isSelf = id === state.self.id;
+      const configVersion = isSelf ? state.configVersion : member.configVersion;
+      return [{ id, address, zone, state: memberState, configVersion }];
     })
     .sort((a, b) => compareText(a.id, b.id));
 }
 
-/** Makes the membership part; `start` it before use. */
+/** Creates the membership part; call `start` before use. */
 export function createMembership(deps: MembershipDeps): Membership {
   const settings: MembershipPartSettings = { ...DEFAULTS, ...deps.settings };
   const { self, clock, random, logger } = deps;
@@ -103,7 +106,7 @@
   });
   const received = new Subject<GossipEntry>();
   const messages = new Subject<DirectMessage>();
-  const moved = new Subject<void>();
+  const membersChanged = new Subject<void>();
   const stopped = new Subject<void>();
   let state = createMembershipState(self, settings, clock.now(), clock.epoch());
 
@@ -122,7 +125,7 @@
       received.next(entry);
     },
     'members-changed': () => {
-      moved.next();
+      membersChanged.next();
     },
     'duplicate-id': ({ address }) => {
       const fields = { step: 'membership', peer: address, code: 'duplicate-id' };
@@ -139,7 +142,7 @@
     }
   }
 
-  function takeMessage(from: DaemonId, address: string, message: PeerMessage): void {
+  function handleMessage(from: DaemonId, address: string, message: PeerMessage): void {
     if (message.kind === 'direct') {
       messages.next({ from, topic: message.topic, value: message.value });
       return;
@@ -148,9 +151,9 @@
   }
 
   const gossip: Gossip = {
-    publish: (topic, key, value, endsAt) => {
-      // Instants on the wire are whole milliseconds; a peer drops a message with any other.
-      const expiresAt = brandAs<EpochTime>(Math.ceil(endsAt));
+    publish: (topic, key, value, validUntil) => {
+      // Times on the wire are integer milliseconds; a peer drops a message with a fraction.
+      const expiresAt = brandAs<EpochTime>(Math.ceil(validUntil));
       dispatch({ kind: 'publish', topic, key, value, expiresAt });
     },
     received,
@@ -173,7 +176,7 @@
     received: messages,
   };
 
-  /** Seeds and the lagging list only say where a daemon may be. */
+  /** Addresses where a daemon may be: the seeds, and the instance list, which may lag. */
   const candidates = defer(() => from(deps.instances.list())).pipe(
     filter((result) => result.isOk()),
     map((result) =>
@@ -195,7 +198,7 @@
   async function start(): Promise<void> {
     await peers.start();
     peers.received.pipe(takeUntil(stopped)).subscribe(({ from: id, address, message }) => {
-      takeMessage(id, address, message);
+      handleMessage(id, address, message);
     });
     peers.unreachable.pipe(takeUntil(stopped)).subscribe((address) => {
       dispatch({ kind: 'unreachable', address });
@@ -217,7 +220,7 @@
   return {
     self: self.id,
     peers: () => toPeerInfo(state),
-    changes: moved.pipe(
+    changes: membersChanged.pipe(
       startWith(undefined),
       map(() => toPeerInfo(state)),
     ),
