--- a/tests/admin.test.ts
+++ b/tests/admin.test.ts
@@ -57,33 +57,33 @@
 }
 
 describe('an operator', () => {
-  it('is refused without a key, with an unknown one and with a caller’s', async () => {
+  it('is refused without a key, with an unknown key and with a caller’s key', async () => {
     expect((await send('nobody', 'GET', 'status')).status).toBe(401);
     expect((await send('caller-rennes', 'GET', 'status')).status).toBe(403);
     const res = await send('', 'GET', 'status');
     expect(res.body).toMatchObject({ error: { code: 'unauthorized', step: 'admin-auth' } });
   });
 
-  it('may begin with the bootstrap key', async () => {
+  it('may use the bootstrap key', async () => {
     expect((await send('bootstrap', 'GET', 'config')).status).toBe(200);
   });
 });
 
-describe('submitting', () => {
-  it('takes a document made from the version in force', async () => {
+describe('submitting a configuration', () => {
+  it('accepts a document based on the version in force', async () => {
     const headers = { 'if-match': '"1"', 'nutmegstack-change-id': 'c1' };
     const res = await send(PLATFORM, 'PUT', 'config', DOCUMENT, headers);
     expect(res).toEqual({ status: 200, body: { version: 2, changeId: 'c1' } });
   });
 
-  it('refuses the slower of two operators', async () => {
+  it('refuses the second of two concurrent changes', async () => {
     await send(PLATFORM, 'PUT', 'config', DOCUMENT, { 'if-match': '"1"' });
     const slower = await send(PLATFORM, 'PUT', 'config', DOCUMENT, { 'if-match': '"1"' });
     expect(slower.status).toBe(409);
     expect(slower.body).toMatchObject({ error: { code: 'conflict', outcome: 'not-run' } });
   });
 
-  it('names the path of each wrong field', async () => {
+  it('returns the path of each invalid field', async () => {
     const wrong = { ...DOCUMENT, surplus: 1, services: { ledger: { backends: ['nowhere'] } } };
     const res = await send(PLATFORM, 'PUT', 'config', wrong, { 'if-match': '"1"' });
     expect(res.status).toBe(400);
@@ -112,7 +112,7 @@
     expect(body).toMatchObject({ version: 2, parameters: { share: 4, template: 'depot' } });
   });
 
-  it('is made anew when another change came between', async () => {
+  it('is retried when another change was accepted in between', async () => {
     race = () => {
       race = undefined;
       const ifVersion = brandAs<ConfigVersion>(1);
@@ -132,7 +132,7 @@
     expect(res.status).toBe(409);
   });
 
-  it('is refused beyond what the template allows', async () => {
+  it('is refused beyond the limits of the template', async () => {
     const res = await send(RENNES, 'PATCH', 'organisations/rennes', { share: 1000 });
     expect(res.body).toMatchObject({
       error: { fields: [{ path: 'organisations.rennes.share' }] },
@@ -141,7 +141,7 @@
 });
 
 describe('an organisation’s operator', () => {
-  it('sees only its own', async () => {
+  it('sees only its own organisation', async () => {
     const { body } = await send(RENNES, 'GET', 'config');
     const { document } = body as { document: typeof DOCUMENT };
     expect(Object.keys(document.organisations)).toEqual(['rennes']);
@@ -153,7 +153,7 @@
     expect((await send(RENNES, 'GET', 'status')).body).not.toHaveProperty('control');
   });
 
-  it('changes only its own', async () => {
+  it('changes only its own organisation', async () => {
     expect((await send(RENNES, 'PATCH', 'organisations/brest', { share: 4 })).status).toBe(403);
     expect((await send(RENNES, 'POST', 'drain', { daemon: 'e1' })).status).toBe(403);
     const foreign = { hash: '0'.repeat(64), organisation: 'brest', role: 'operator' };
@@ -178,7 +178,7 @@
 });
 
 describe('operations', () => {
-  it('show each daemon with the version in force on it', async () => {
+  it('show each daemon with the configuration version in force on it', async () => {
     expect((await send(PLATFORM, 'GET', 'status')).body).toMatchObject({
       daemon: 'e1',
       version: 1,
@@ -200,7 +200,7 @@
     expect((await send(PLATFORM, 'POST', 'drain', {})).status).toBe(400);
   });
 
-  it('stop this daemon when another one asks', () => {
+  it('stop this daemon when another daemon requests it', () => {
     parts.direct.next({ from: brandAs<DaemonId>('e2'), topic: 'admin-drain', value: {} });
     parts.direct.next({ from: brandAs<DaemonId>('e2'), topic: 'other', value: {} });
     expect(parts.asked).toEqual(['stop']);
@@ -208,7 +208,7 @@
 });
 
 describe('an unknown route', () => {
-  it('is told apart from an unknown method', async () => {
+  it('is distinguished from an unknown method', async () => {
     expect((await send(PLATFORM, 'GET', 'nothing')).status).toBe(404);
     expect((await send(PLATFORM, 'DELETE', 'config')).status).toBe(405);
     expect((await send(PLATFORM, 'GET', '../../x')).status).toBe(404);
@@ -216,7 +216,7 @@
 });
 
 describe('a merge patch', () => {
-  it('puts fields in and takes out those that are null', () => {
+  it('merges fields and removes those that are null', () => {
     const target = { a: 1, b: { c: 2, d: 3 } };
     expect(mergePatch(target, { a: null, b: { c: 4 }, e: [5] })).toEqual({
       b: { c: 4, d: 3 },
--- a/tests/config-sync.test.ts
+++ b/tests/config-sync.test.ts
@@ -29,7 +29,7 @@
 afterEach(() => world.stop());
 
 describe('an accepted change', () => {
-  it('comes into force everywhere by push alone, without a read of its document', async () => {
+  it('comes into force on every daemon by push alone, without a read of its document', async () => {
     await startDaemons(4, NEVER_POLL);
     await amend(at(0), 'c1', 1, 0);
     await allInForce(1);
@@ -49,7 +49,7 @@
     await allInForce(2);
   });
 
-  it('reaches a daemon that was cut off from peers and table, once healed', async () => {
+  it('reaches a daemon that was partitioned from peers and table, once it is reconnected', async () => {
     await startDaemons(3);
     world.hub.cut.add('daemon-2');
     at(2).faults.down = true;
@@ -73,7 +73,7 @@
   });
 });
 
-describe('what is in force', () => {
+describe('the configuration in force', () => {
   beforeEach(async () => {
     await startDaemons(2);
     await amend(at(0), 'c1', 1, 0);
@@ -92,7 +92,7 @@
     return daemon.alarms[0] ?? '';
   }
 
-  it('never goes back to an older version, whatever the table or a peer says', async () => {
+  it('never reverts to an older version, even if the head row in the table does', async () => {
     await amend(at(0), 'c2', 2, 1);
     await allInForce(2);
     replaceRow(HEAD_KEY, (value) => ({ ...value, version: 1 }));
@@ -100,7 +100,7 @@
     expect(at(1).config.current().version).toBe(2);
   });
 
-  it('does not take a pushed change that lacks its hash, and fetches the true document', async () => {
+  it('rejects a pushed change that does not match its hash, and fetches the document', async () => {
     world.hub.tamper = (entry) => {
       const text = JSON.stringify(entry.value).replace('"share":2', '"share":9');
       return { ...entry, value: JSON.parse(text) as Json };
@@ -110,7 +110,7 @@
     expect(shareIn(at(1).config)).toBe(2);
   });
 
-  it('keeps what it has and alarms when the newest document in the table is damaged', async () => {
+  it('stays and raises an alarm when the newest document in the table is corrupt', async () => {
     at(1).faults.down = true;
     world.hub.cut.add('daemon-1');
     await amend(at(0), 'c2', 2, 1);
@@ -120,7 +120,7 @@
     expect(shareIn(at(1).config)).toBe(1);
   });
 
-  it('keeps what it has and alarms on a head of an unknown schema', async () => {
+  it('stays and raises an alarm when the head row has an unknown schema', async () => {
     replaceRow(HEAD_KEY, (value) => ({ ...value, schema: 99, version: 2 }));
     expect(await alarmOf(at(0))).toBe('config-unreadable');
     expect(at(0).config.current().version).toBe(1);
@@ -128,7 +128,7 @@
     expect(done._unsafeUnwrapErr().code).toBe('unavailable');
   });
 
-  it('stays while the table is down, and is what a read gives', async () => {
+  it('stays while the table is down, and is returned by a read', async () => {
     at(1).faults.down = true;
     const read = await at(1).config.read();
     expect(read._unsafeUnwrap().version).toBe(1);
--- a/tests/control-engine-port.test.ts
+++ b/tests/control-engine-port.test.ts
@@ -38,12 +38,12 @@
 }
 
 describe('engine port over HTTP', () => {
-  it('gives the report', async () => {
+  it('returns the report of the engine', async () => {
     const address = await listen((_req, res) => res.end(JSON.stringify(REPORT)));
     expect((await engine.report(address))._unsafeUnwrap()).toEqual(REPORT);
   });
 
-  it('tells a refusal from a loss', async () => {
+  it('reports a refused order as a conflict', async () => {
     const address = await listen((_req, res) => {
       res.writeHead(409).end('{"error":"stale-fencing"}');
     });
@@ -51,7 +51,7 @@
     expect(err).toMatchObject({ code: 'conflict', step: 'order-preload', peer: address });
   });
 
-  it('says that an order may have taken effect when the connection breaks', async () => {
+  it('reports backend-lost when the connection breaks, since the order may have taken effect', async () => {
     const address = await listen((req) => {
       req.resume().on('end', () => req.socket.destroy());
     });
@@ -59,33 +59,33 @@
     expect(err.code).toBe('backend-lost');
   });
 
-  it('says that an engine which does not answer in time is unavailable', async () => {
+  it('reports an engine that does not answer in time as unavailable', async () => {
     const address = await listen(() => undefined);
     expect((await engine.report(address))._unsafeUnwrapErr().code).toBe('unavailable');
   });
 
-  it('says that nothing was ordered where nobody listens', async () => {
+  it('reports unavailable when the connection is refused, since the order was not sent', async () => {
     const address = await listen(() => undefined);
     await new Promise((resolve) => server?.close(resolve));
     expect((await engine.order(address, ORDER, BY))._unsafeUnwrapErr().code).toBe('unavailable');
   });
 
   it.each([
-    ['no JSON', 'hello'],
-    ['no report', '{"state":"dancing"}'],
-  ])('takes %s for no report', async (_what, body) => {
+    ['invalid JSON', 'hello'],
+    ['JSON that is not a report', '{"state":"dancing"}'],
+  ])('rejects %s as a bad answer', async (_what, body) => {
     const address = await listen((_req, res) => res.end(body));
     expect((await engine.report(address))._unsafeUnwrapErr().code).toBe('bad-answer');
   });
 
-  it('reads no endless report', async () => {
+  it('rejects a report that is too large', async () => {
     const address = await listen((_req, res) => {
       res.end(Buffer.alloc(1_000_000, 32));
     });
     expect((await engine.report(address)).isErr()).toBe(true);
   });
 
-  it('takes no address that is none', async () => {
+  it('reports an invalid address as unavailable', async () => {
     expect((await engine.report('not an address'))._unsafeUnwrapErr().code).toBe('unavailable');
   });
 });
--- a/tests/control-evidence.test.ts
+++ b/tests/control-evidence.test.ts
@@ -3,7 +3,7 @@
 import { configOf, createWorld, modelSpec } from './support/control-world';
 import type { World } from './support/control-world';
 
-async function serving(): Promise<World> {
+async function startServing(): Promise<World> {
   const world = createWorld();
   for (const n of [1, 2, 3, 4, 5]) world.addEngine(`e${n}`, 'd1');
   for (const id of ['a1', 'a2', 'a3']) await world.addDaemon(id);
@@ -13,13 +13,13 @@
 }
 
 describe('evidence from a failed request', () => {
-  it('takes a group out on this daemon at once, and a fresh probe brings it back', async () => {
-    const world = await serving();
+  it('makes a group unroutable on this daemon at once, until a fresh probe succeeds', async () => {
+    const world = await startServing();
     const [daemon] = world.daemons;
     const [group] = daemon?.control.routable('m' as never) ?? [];
-    if (!daemon || !group) throw new Error('nothing serves');
+    if (!daemon || !group) throw new Error('no daemon has a routable group');
     const lost: string[] = [];
-    daemon.control.lost.subscribe((one) => lost.push(one.group));
+    daemon.control.lost.subscribe((loss) => lost.push(loss.group));
     const { id, epoch } = group;
     daemon.control.report({ group: id, epoch, kind: 'lost', step: 'send' });
     expect(daemon.control.routable('m' as never)).toEqual([]);
@@ -30,11 +30,11 @@
     expect(daemon.control.routable('m' as never)).toHaveLength(1);
   });
 
-  it('brings nothing back while a member does not answer', async () => {
-    const world = await serving();
+  it('keeps the group unroutable while a member does not answer', async () => {
+    const world = await startServing();
     const [daemon] = world.daemons;
     const [group] = daemon?.control.routable('m' as never) ?? [];
-    if (!daemon || !group) throw new Error('nothing serves');
+    if (!daemon || !group) throw new Error('no daemon has a routable group');
     const member = world.engines.get(group.members[2]?.instance ?? '');
     if (member) member.up = false;
     daemon.control.report({ group: group.id, epoch: group.epoch, kind: 'lost', step: 'send' });
@@ -44,19 +44,19 @@
     }
   });
 
-  it('that a full group refused changes nothing', async () => {
-    const world = await serving();
+  it('does not include the refusal of a full group', async () => {
+    const world = await startServing();
     const [daemon] = world.daemons;
     const [group] = daemon?.control.routable('m' as never) ?? [];
-    if (!daemon || !group) throw new Error('nothing serves');
+    if (!daemon || !group) throw new Error('no daemon has a routable group');
     daemon.control.report({ group: group.id, epoch: group.epoch, kind: 'refused', step: 'send' });
     expect(daemon.control.routable('m' as never)).toHaveLength(1);
   });
 });
 
-describe('what a daemon shows', () => {
+describe('status and estimates of a daemon', () => {
   it('sums downtime and stranded accelerators while a group is broken', async () => {
-    const world = await serving();
+    const world = await startServing();
     for (const engine of [...world.engines.values()].slice(0, 4)) engine.up = false;
     await world.advance(20_000);
     const totals = world.daemons.map(({ control }) => control.status() as never as Status);
@@ -64,11 +64,11 @@
     const stranded = totals.map(({ totals: one }) => one.strandedAcceleratorSeconds.m ?? 0);
     expect(Math.max(...downtime)).toBeGreaterThan(15);
     expect(Math.max(...stranded)).toBeGreaterThan(15 * 4 * 8);
-    // Only the holder counts, so that the daemons' totals may be summed.
+    // Only the holder counts, so that the totals of all daemons can be summed.
     expect(downtime.filter((seconds) => seconds > 0)).toHaveLength(1);
   });
 
-  it('expects a group that forms', async () => {
+  it('estimates when a forming group will be ready', async () => {
     const world = createWorld();
     for (const n of [1, 2, 3, 4]) world.addEngine(`e${n}`, 'd1');
     const { control } = await world.addDaemon('a');
--- a/tests/control-gossip.test.ts
+++ b/tests/control-gossip.test.ts
@@ -53,23 +53,23 @@
   return reduceWatch(createWatch(ROW, 1), event as never, NOW).state;
 }
 
-describe('statements that groups are well', () => {
-  it('rest on own probes alone, never on what a peer stated', () => {
-    const { news, published } = createTestGossip();
-    news.state([withPeerStatement()], 0);
+describe('statements that groups are complete', () => {
+  it('are based only on own probes, never on statements of peers', () => {
+    const { news: gossip, published } = createTestGossip();
+    gossip.state([withPeerStatement()], 0);
     expect(published).toEqual([]);
   });
 
-  it('hold for no longer than the probes that they rest on', () => {
-    const { news, published } = createTestGossip();
-    news.state([withProbeReport()], 0);
+  it('are valid no longer than the probes they are based on', () => {
+    const { news: gossip, published } = createTestGossip();
+    gossip.state([withProbeReport()], 0);
     expect(published).toMatchObject([{ value: { groups: [['g', 1]], forMs: 2_900 } }]);
   });
 
-  it('are numbered so that a restarted daemon goes on above its earlier ones', () => {
-    const { news, published } = createTestGossip();
-    news.warn('g' as never, 1 as never);
-    news.warn('g' as never, 1 as never);
+  it('are numbered above those sent before a restart of the daemon', () => {
+    const { news: gossip, published } = createTestGossip();
+    gossip.warn('g' as never, 1 as never);
+    gossip.warn('g' as never, 1 as never);
     expect(published).toMatchObject([{ value: { seq: 5_000_000 } }, { value: { seq: 5_000_001 } }]);
   });
 });
--- a/tests/control-lease.test.ts
+++ b/tests/control-lease.test.ts
@@ -3,7 +3,7 @@
 import { configOf, createWorld, modelSpec, rowsBelow } from './support/control-world';
 import type { FakeDaemon, World } from './support/control-world';
 
-async function serving(checksFencing: boolean): Promise<World> {
+async function startServing(checksFencing: boolean): Promise<World> {
   const world = createWorld({ drift: 0.03 });
   for (const n of [1, 2, 3, 4, 5, 6]) world.addEngine(`e${n}`, 'd1', { checksFencing });
   for (const id of ['a1', 'a2', 'a3']) await world.addDaemon(id);
@@ -18,9 +18,9 @@
   return found;
 }
 
-describe.each([true, false])('engines that check fencing numbers: %s', (checksFencing) => {
-  it('see nothing of a holder frozen past its lease and resumed', async () => {
-    const world = await serving(checksFencing);
+describe.each([true, false])('engines, checking fencing numbers: %s', (checksFencing) => {
+  it('receive no order from a holder that was suspended past its lease and resumed', async () => {
+    const world = await startServing(checksFencing);
     const frozen = holderIn(world);
     frozen.running = false;
     for (const one of [...world.engines.values()].slice(0, 1)) one.up = false;
@@ -36,11 +36,11 @@
     expect(world.staleOrders).toEqual([]);
   });
 
-  it('end up as the rows say when orders of the former holder arrive late', async () => {
-    const world = await serving(checksFencing);
+  it('converge to the rows when orders of the former holder arrive late', async () => {
+    const world = await startServing(checksFencing);
     const former = holderIn(world);
     former.lateOrders = 100;
-    // The group is replaced by another; its joins stay under way.
+    // The group is replaced by another, and its join orders are delayed.
     world.config.next(configOf(modelSpec('n', { replicas: 1 })));
     await world.advance(40_000);
     world.kill(former);
@@ -59,11 +59,11 @@
 });
 
 describe('a commit of a former holder', () => {
-  it('takes no effect once another has taken the lease, though its rows are unchanged', async () => {
-    const world = await serving(true);
+  it('has no effect after another daemon has acquired the lease, even if its rows are unchanged', async () => {
+    const world = await startServing(true);
     const former = holderIn(world);
     Object.assign(world.table, { lateCommits: 1, latePrefix: 'group/' });
-    // Nothing but this one commit: the former holder is gone before it arrives.
+    // Delays just this commit: the former holder is stopped before it arrives.
     world.config.next(configOf());
     while (!world.table.isLatePending()) await world.advance(100);
     world.kill(former);
@@ -78,7 +78,7 @@
 
 describe('lease on a domain', () => {
   it('passes to the next daemon at once when its holder stops', async () => {
-    const world = await serving(true);
+    const world = await startServing(true);
     const leaving = holderIn(world);
     const stopped = leaving.control.stop();
     leaving.running = false;
@@ -88,14 +88,14 @@
     expect(world.routable('m').every((groups) => groups.endsWith('@1'))).toBe(true);
   });
 
-  it('is given up by a holder cut off from the table, and taken only after that', async () => {
-    const world = await serving(true);
-    const cut = holderIn(world);
-    cut.cut.table = true;
+  it('lapses for a holder that cannot reach the table, and is acquired by another only after that', async () => {
+    const world = await startServing(true);
+    const isolated = holderIn(world);
+    isolated.cut.table = true;
     await world.advance(5_000);
-    expect(holderIn(world).id).toBe(cut.id);
+    expect(holderIn(world).id).toBe(isolated.id);
     await world.advance(13_000);
-    expect(holderIn(world).id).not.toBe(cut.id);
-    expect(cut.control.routable('m' as never)).toHaveLength(1);
+    expect(holderIn(world).id).not.toBe(isolated.id);
+    expect(isolated.control.routable('m' as never)).toHaveLength(1);
   });
 });
--- a/tests/control-leaving.test.ts
+++ b/tests/control-leaving.test.ts
@@ -3,7 +3,7 @@
 import { configOf, createWorld, modelSpec, rowsBelow } from './support/control-world';
 import type { World } from './support/control-world';
 
-async function serving(engines: number): Promise<World> {
+async function startServing(engines: number): Promise<World> {
   const world = createWorld();
   for (let n = 1; n <= engines; n++) world.addEngine(`e${n}`, 'd1');
   for (const id of ['a1', 'a2', 'a3']) await world.addDaemon(id);
@@ -31,7 +31,7 @@
     },
   ],
   [
-    'it says so itself',
+    'it reports so itself',
     (world, id) => {
       const engine = world.engines.get(id);
       if (engine) engine.leaving = true;
@@ -41,31 +41,34 @@
 ];
 
 describe('an instance that is leaving', () => {
-  it.each(MARKS)('gets no new work on any daemon within 3 s when %s', async (_how, mark) => {
-    const world = await serving(5);
+  it.each(MARKS)('gets no new requests from any daemon within 3 s when %s', async (_how, mark) => {
+    const world = await startServing(5);
     const [victim = ''] = members(world);
     mark(world, victim);
     await world.advance(3_000);
     for (const { control } of world.daemons) {
-      const left = control.routable('m' as never).flatMap((group) => group.members);
-      expect(left.map((member) => member.instance)).not.toContain(victim);
+      const remaining = control.routable('m' as never).flatMap((group) => group.members);
+      expect(remaining.map((member) => member.instance)).not.toContain(victim);
     }
   });
 
-  it.each(MARKS)('gets none while nobody holds the lease either, when %s', async (_how, mark) => {
-    const world = await serving(5);
-    const [victim = ''] = members(world);
-    world.table.down = true;
-    await world.advance(15_000);
-    expect(world.daemons.flatMap(({ control }) => control.heldDomains())).toEqual([]);
-    mark(world, victim);
-    await world.advance(3_000);
-    expect(world.engines.get(victim)?.state).toBe('serving');
-    expect(world.routable('m')).toEqual(['', '', '']);
-  });
+  it.each(MARKS)(
+    'gets none while no daemon holds the lease either, when %s',
+    async (_how, mark) => {
+      const world = await startServing(5);
+      const [victim = ''] = members(world);
+      world.table.down = true;
+      await world.advance(15_000);
+      expect(world.daemons.flatMap(({ control }) => control.heldDomains())).toEqual([]);
+      mark(world, victim);
+      await world.advance(3_000);
+      expect(world.engines.get(victim)?.state).toBe('serving');
+      expect(world.routable('m')).toEqual(['', '', '']);
+    },
+  );
 
-  it('is replaced by a spare that holds the weights, once what was in flight is done', async () => {
-    const world = await serving(5);
+  it('is replaced by a spare that has the weights, once its requests in flight are done', async () => {
+    const world = await startServing(5);
     const [first = '', victim = ''] = members(world);
     const rank0 = world.engines.get(first);
     if (!rank0) throw new Error('no rank 0');
@@ -84,8 +87,8 @@
     expect(world.engines.get(victim)?.group).toBeUndefined();
   });
 
-  it('is taken out at the drain deadline though something is still in flight', async () => {
-    const world = await serving(5);
+  it('is removed at the drain deadline even if requests are still in flight', async () => {
+    const world = await startServing(5);
     const [first = '', victim = ''] = members(world);
     const rank0 = world.engines.get(first);
     if (rank0) rank0.inFlight = 3;
@@ -94,8 +97,8 @@
     expect(members(world)).not.toContain(victim);
   });
 
-  it('is never taken as a replacement', async () => {
-    const world = await serving(5);
+  it('is never chosen as a replacement', async () => {
+    const world = await startServing(5);
     const spare = [...world.engines.values()].find((one) => !members(world).includes(one.id));
     MARKS[1]?.[1](world, spare?.id ?? '');
     await world.advance(2_000);
@@ -106,7 +109,7 @@
   });
 
   it('stays marked when all daemons are replaced', async () => {
-    const world = await serving(4);
+    const world = await startServing(4);
     const [victim = ''] = members(world);
     await world.daemons[0]?.control.drainInstance(victim as never);
     for (const daemon of [...world.daemons]) world.kill(daemon);
@@ -115,16 +118,16 @@
     expect(world.routable('m')).toEqual(['']);
   });
 
-  it('must be one that the platform lists', async () => {
-    const world = await serving(4);
+  it('can be drained only if the platform lists it', async () => {
+    const world = await startServing(4);
     const done = await world.daemons[0]?.control.drainInstance('nobody' as never);
     expect(done?._unsafeUnwrapErr()).toMatchObject({ code: 'not-found', peer: 'nobody' });
   });
 });
 
-describe('a configuration that asks for less', () => {
-  it('has groups drained, then dissolved, and their instances released', async () => {
-    const world = await serving(4);
+describe('a configuration with fewer or smaller replicas', () => {
+  it('drains and dissolves groups, and releases their instances', async () => {
+    const world = await startServing(4);
     const [first = ''] = members(world);
     const rank0 = world.engines.get(first);
     if (rank0) rank0.inFlight = 1;
@@ -139,7 +142,7 @@
     expect([...world.engines.values()].every((one) => one.state === 'idle')).toBe(true);
   });
 
-  it('has groups of another size give way one after the other', async () => {
+  it('replaces groups of the former size one at a time', async () => {
     const world = createWorld();
     for (let n = 1; n <= 8; n++) world.addEngine(`e${n}`, 'd1');
     const { control } = await world.addDaemon('a');
@@ -147,12 +150,12 @@
     await world.advance(18_000);
     expect(control.routable('m' as never)).toHaveLength(2);
     world.config.next(configOf(modelSpec('m', { replicas: 2, membersPerReplica: 3 })));
-    const least: number[] = [];
+    const routableCounts: number[] = [];
     for (let passed = 0; passed < 30_000; passed += 500) {
       await world.advance(500);
-      least.push(control.routable('m' as never).length);
+      routableCounts.push(control.routable('m' as never).length);
     }
-    expect(Math.min(...least)).toBe(1);
+    expect(Math.min(...routableCounts)).toBe(1);
     const sizes = control.routable('m' as never).map((group) => group.members.length);
     expect(sizes).toEqual([3, 3]);
   });
--- a/tests/control-recovery.test.ts
+++ b/tests/control-recovery.test.ts
@@ -4,7 +4,7 @@
 import { configOf, createWorld, modelSpec, rowsBelow } from './support/control-world';
 import type { World, WorldOptions } from './support/control-world';
 
-async function serving(daemons: number, options: WorldOptions = {}): Promise<World> {
+async function startServing(daemons: number, options: WorldOptions = {}): Promise<World> {
   const world = createWorld(options);
   for (const n of [1, 2, 3, 4, 5, 6]) world.addEngine(`e${n}`, 'd1');
   for (let n = 1; n <= daemons; n++) await world.addDaemon(`a${n}`);
@@ -29,8 +29,8 @@
 }
 
 describe('a member that dies', () => {
-  it('makes its group unroutable on every daemon and is replaced by one that kept its weights', async () => {
-    const world = await serving(3);
+  it('makes its group unroutable on every daemon and is replaced by a spare that has the weights', async () => {
+    const world = await startServing(3);
     const [, victim] = membersOf(world);
     const others = membersOf(world).filter((id) => id !== victim);
     engine(world, victim).up = false;
@@ -43,8 +43,8 @@
     expect(world.routable('m')[0]).toContain('@2');
   });
 
-  it('is released when it comes back after it was given up', async () => {
-    const world = await serving(2);
+  it('is released when it recovers after it was replaced', async () => {
+    const world = await startServing(2);
     const [victim] = membersOf(world);
     engine(world, victim).up = false;
     await world.advance(20_000);
@@ -55,8 +55,8 @@
     expect(engine(world, victim)).toMatchObject({ group: undefined, state: 'idle' });
   });
 
-  it('joins its group again with the next epoch when it restarts and nothing is free', async () => {
-    const world = await serving(2);
+  it('rejoins its group with the next epoch when it restarts and no instance is free', async () => {
+    const world = await startServing(2);
     const [first, victim] = membersOf(world);
     for (const one of world.engines.values()) {
       if (!membersOf(world).includes(one.id)) one.up = false;
@@ -70,7 +70,7 @@
   });
 
   it('is kept when only the holder of the lease cannot reach it', async () => {
-    const world = await serving(3);
+    const world = await startServing(3);
     const before = membersOf(world);
     const holder = world.daemons.find(({ control }) => control.heldDomains().length > 0);
     if (!holder) throw new Error('no holder');
@@ -85,8 +85,8 @@
 });
 
 describe('restart of all daemons at once', () => {
-  it('takes everything up again without an order to a group that serves', async () => {
-    const world = await serving(3);
+  it('resumes without sending an order to a serving group', async () => {
+    const world = await startServing(3);
     const orders = [...world.engines.values()].map((one) => one.heldBy.length);
     for (const daemon of [...world.daemons]) world.kill(daemon);
     for (const id of ['b1', 'b2', 'b3']) await world.addDaemon(id);
@@ -99,9 +99,9 @@
   });
 });
 
-describe('a fabric domain that goes dark', () => {
-  it('has its groups kept and served again as they were once it is back', async () => {
-    const world = await serving(2);
+describe('a fabric domain with an outage', () => {
+  it('keeps its groups, which serve unchanged once it recovers', async () => {
+    const world = await startServing(2);
     const before = membersOf(world);
     for (const one of world.engines.values()) one.up = false;
     await world.advance(60_000);
@@ -112,8 +112,8 @@
     expect(world.routable('m').every((groups) => groups.endsWith('@1'))).toBe(true);
   });
 
-  it('loads no weights elsewhere before it is given up, and there only what is wanted', async () => {
-    const world = await serving(2, { settings: { domain: { outageDissolveMs: 60_000 } } });
+  it('loads no weights in another domain before the outage limit, and then only those needed', async () => {
+    const world = await startServing(2, { settings: { domain: { outageDissolveMs: 60_000 } } });
     for (const n of [1, 2, 3, 4]) world.addEngine(`f${n}`, 'd2');
     await world.advance(3_000);
     for (const one of world.engines.values()) one.up = one.id.startsWith('f');
@@ -128,16 +128,16 @@
     expect(rowsBelow(world.table, 'group/')).toHaveLength(1);
   });
 
-  it('is told of as dark when most of its groups fall together', async () => {
+  it('is reported as dark when most of its groups are lost together', async () => {
     const world = createWorld();
     for (const n of [1, 2, 3, 4, 5, 6, 7, 8]) world.addEngine(`e${n}`, 'd1');
     const daemon = await world.addDaemon('a');
     world.config.next(configOf(modelSpec('m', { replicas: 2 })));
     await world.advance(18_000);
-    const told: boolean[] = [];
-    daemon.control.lost.subscribe(({ domainDark }) => told.push(domainDark));
+    const reported: boolean[] = [];
+    daemon.control.lost.subscribe(({ domainDark }) => reported.push(domainDark));
     for (const one of world.engines.values()) one.up = false;
     await world.advance(3_000);
-    expect(told).toEqual([false, true, true]);
+    expect(reported).toEqual([false, true, true]);
   });
 });
--- a/tests/control.test.ts
+++ b/tests/control.test.ts
@@ -3,7 +3,7 @@
 import { configOf, createWorld, modelSpec, rowsBelow } from './support/control-world';
 
 describe('control plane with one daemon and no peers', () => {
-  it('forms the groups that the configuration asks for and makes them routable', async () => {
+  it('forms the configured number of groups and makes them routable', async () => {
     const world = createWorld();
     for (const n of [1, 2, 3, 4, 5, 6, 7, 8]) world.addEngine(`e${n}`, 'd1');
     await world.addDaemon('a');
--- a/tests/support/admin-parts.ts
+++ b/tests/support/admin-parts.ts
@@ -1,4 +1,4 @@
-/** Parts of a daemon as the administration API sees them, in memory. */
+/** In-memory fakes of the daemon parts that the administration API uses. */
 
 import { errAsync, okAsync } from 'neverthrow';
 import { BehaviorSubject, EMPTY, Subject } from 'rxjs';
@@ -16,7 +16,7 @@
 
 const step = 'config-submit';
 
-/** A configuration part that keeps its versions in memory; `beforeSubmit` may race. */
+/** A configuration part in memory; `beforeSubmit` runs before each submit, to simulate conflicts. */
 export function fakeConfig(first: Json, beforeSubmit: () => void = () => undefined): ConfigPart {
   const accepted: AcceptedConfig[] = [];
   const changes = new BehaviorSubject<Config>(EMPTY_CONFIG);
@@ -34,8 +34,10 @@
     changes,
     submit: ({ ifVersion, document }) => {
       beforeSubmit();
-      if (ifVersion === undefined) return errAsync(fail('precondition-required', 'say', { step }));
-      if (ifVersion !== accepted.length) return errAsync(fail('conflict', 'newer', { step }));
+      if (ifVersion === undefined)
+        return errAsync(fail('precondition-required', 'no version was given', { step }));
+      if (ifVersion !== accepted.length)
+        return errAsync(fail('conflict', 'a newer version exists', { step }));
       return okAsync(accept(document));
     },
     read: (version = brandAs<ConfigVersion>(accepted.length)) => {
@@ -51,7 +53,7 @@
 export interface FakeParts {
   readonly deps: AdminDeps;
   readonly direct: Subject<DirectMessage>;
-  /** What was asked of other parts. */
+  /** Calls of other parts, in order. */
   readonly asked: string[];
 }
 
@@ -67,15 +69,15 @@
     state: 'alive' as const,
     configVersion: config.current().version,
   });
-  const quiet = (): void => undefined;
+  const noop = (): void => undefined;
   const deps: AdminDeps = {
     config,
-    logger: { debug: quiet, info: quiet, warn: quiet, error: quiet },
+    logger: { debug: noop, info: noop, warn: noop, error: noop },
     control: {
       ...part,
       routable: () => [],
       expectedAt: () => undefined,
-      report: quiet,
+      report: noop,
       lost: EMPTY,
       drainInstance: (instance) => {
         asked.push(`instance ${instance}`);
@@ -88,8 +90,8 @@
       self,
       peers: () => [peer(self), peer(brandAs<DaemonId>('e2'))],
       changes: EMPTY,
-      leave: quiet,
-      gossip: { publish: quiet, received: EMPTY, entries: () => [] },
+      leave: noop,
+      gossip: { publish: noop, received: EMPTY, entries: () => [] },
       direct: {
         send: (to, topic) => {
           asked.push(`${topic} ${to}`);
@@ -100,7 +102,7 @@
     },
     requests: {
       ...part,
-      handler: quiet,
+      handler: noop,
       inFlight: () => 3,
       drain: () => Promise.resolve(),
     },
--- a/tests/support/config-daemons.ts
+++ b/tests/support/config-daemons.ts
@@ -1,4 +1,4 @@
-/** Configuration parts of several daemons on one fake table and hub. */
+/** Configuration parts of several daemons that share a fake table and a fake hub. */
 
 import { filter, firstValueFrom, timeout } from 'rxjs';
 
@@ -17,7 +17,7 @@
 export interface ConfigDaemon {
   readonly config: ConfigPart;
   readonly faults: TableFaults;
-  /** Codes of the errors it logged. */
+  /** Codes of the errors that it logged. */
   readonly alarms: string[];
 }
 
@@ -77,12 +77,12 @@
   await firstValueFrom(config.changes.pipe(reached, timeout(10_000)));
 }
 
-/** The share that {@link documentWith} set. */
+/** The share in force that {@link documentWith} sets. */
 export function shareIn(config: ConfigPart): number | undefined {
   return config.current().organisations.brest?.share;
 }
 
-/** Submits a document with a given share as an amendment of `from`. */
+/** Submits a document with the given share as a change of version `from`; throws if refused. */
 export async function amend(
   { config }: ConfigDaemon,
   changeId: string,
--- a/tests/support/config-documents.ts
+++ b/tests/support/config-documents.ts
@@ -43,7 +43,7 @@
   ],
 };
 
-/** A document that differs from others by the share of one organisation. */
+/** {@link DOCUMENT} with another share for one organisation. */
 export function documentWith(share: number): typeof DOCUMENT {
   const { organisations } = DOCUMENT;
   return {
--- a/tests/support/control-engine.ts
+++ b/tests/support/control-engine.ts
@@ -1,4 +1,4 @@
-/** One engine member in memory, as docs/INTERFACES.md describes it, with its own record. */
+/** A fake engine in memory, as docs/INTERFACES.md describes it, that records the groups it held. */
 
 import type { PlannedOrder } from '../../src/core/groups/domain-types';
 import type { EngineReport } from '../../src/core/groups/types';
@@ -6,7 +6,7 @@
 
 export type OrderAnswer = 'done' | 'stale-fencing' | 'stale-epoch' | 'other-group' | 'unreachable';
 
-/** From when to when a member held a group. */
+/** Interval during which an engine held a group; `to` is absent while it still does. */
 export interface HeldRecord {
   readonly group: GroupId;
   readonly epoch: Epoch;
@@ -27,12 +27,12 @@
   weights: Set<ModelId>;
   loading?: { readonly model: ModelId; readonly until: number } | undefined;
   incarnation: number;
-  /** Fetches of weights begun ahead of a join. */
+  /** Number of weight fetches started by preload orders. */
   preloads: number;
   fencing: number;
   inFlight: number;
   leaving: boolean;
-  /** Neither answers nor acts; a resumed one goes on where it was. */
+  /** While false, it neither answers nor acts; it keeps its state until set again. */
   up: boolean;
   readonly heldBy: HeldRecord[];
 }
@@ -79,7 +79,7 @@
   };
 }
 
-/** Whether the member itself holds the group at this epoch and can run it. */
+/** Whether the engine is up and holds the group at this epoch. */
 export function holds(engine: FakeEngine, group: GroupId, epoch: Epoch): boolean {
   return engine.up && engine.group === group && engine.epoch === epoch;
 }
@@ -96,11 +96,11 @@
 
 export interface OrderBy {
   readonly fencing: number;
-  /** Until when a fetch of weights lasts, should one be needed. */
+  /** When a fetch of weights ends, if one is needed. */
   readonly loadedAt: number;
 }
 
-/** Obeys or refuses an order. */
+/** Executes or refuses an order. */
 export function obey(
   engine: FakeEngine,
   order: PlannedOrder,
@@ -112,7 +112,7 @@
   engine.fencing = Math.max(engine.fencing, by.fencing);
   if (order.kind === 'preload') {
     if (engine.group === undefined && !engine.weights.has(order.model) && !engine.loading) {
-      // It reports itself idle all the while.
+      // Its state remains idle during a preload.
       engine.loading = { model: order.model, until: by.loadedAt };
       engine.preloads++;
     }
@@ -141,7 +141,7 @@
   engine.model = order.model;
   engine.members = order.members.map((member) => member.instance);
   engine.heldBy.push({ group: order.group, epoch: order.epoch, from: now });
-  // Rank 0 serves once all others do.
+  // Rank 0 serves only once all other members do.
   const hasWeights = engine.weights.has(order.model);
   engine.state = hasWeights && order.rank !== 0 ? 'serving' : 'loading';
   if (hasWeights || engine.loading?.model === order.model) return;
@@ -165,7 +165,7 @@
   return 'done';
 }
 
-/** Time passes: weights arrive, and rank 0 looks at the other members. */
+/** Advances to `now`: completes a fetch of weights, and lets rank 0 check the other members. */
 export function passTime(
   engine: FakeEngine,
   all: ReadonlyMap<string, FakeEngine>,
@@ -184,17 +184,17 @@
   const { group, epoch, model, state } = engine;
   if (group === undefined || epoch === undefined || model === undefined) return;
   const others = engine.members.filter((id) => id !== engine.id).map((id) => all.get(id));
-  const isWhole = others.every((one) => one !== undefined && holds(one, group, epoch));
+  const isComplete = others.every((one) => one !== undefined && holds(one, group, epoch));
   const isReady = others.every((one) => one?.state === 'serving' || one?.state === 'draining');
   if (state === 'loading') {
-    if (isWhole && isReady && engine.weights.has(model)) engine.state = 'serving';
-  } else if (!isWhole) {
+    if (isComplete && isReady && engine.weights.has(model)) engine.state = 'serving';
+  } else if (!isComplete) {
     engine.state = 'broken';
     engine.inFlight = 0;
   }
 }
 
-/** The process dies and starts anew: no group, weights lost unless they are kept. */
+/** Restarts the process: it leaves its group, and loses its weights unless `keepsWeights`. */
 export function restart(engine: FakeEngine, now: number, keepsWeights = false): void {
   leave(engine, now);
   engine.incarnation++;
--- a/tests/support/control-table.ts
+++ b/tests/support/control-table.ts
@@ -1,4 +1,4 @@
-/** The table service in memory, with its faults. */
+/** A fake table service in memory, with fault injection. */
 
 import { errAsync, okAsync } from 'neverthrow';
 import type { ResultAsync } from 'neverthrow';
@@ -10,14 +10,15 @@
 export interface FakeTable extends Table {
   readonly rows: Map<string, Row>;
   down: boolean;
-  /** The next writes take effect but their answers are lost. */
+  /** Number of next commits that take effect but whose answers are lost. */
   lostAnswers: number;
-  /** The next writes are answered as lost and take effect only at `flushLate`. */
+  /** Number of next commits whose answers are lost, and that take effect only at `flushLate`. */
   lateCommits: number;
-  /** Only writes with a key below this are late. */
+  /** Only commits that write a key with this prefix are late. */
   latePrefix: string;
   reads: number;
   commits: number;
+  /** Applies the late commits. */
   flushLate(): void;
   isLatePending(): boolean;
 }
@@ -26,9 +27,9 @@
   let counter = 0;
   const late: Transaction[] = [];
   const unavailable = <T>(): ResultAsync<T, StepError> =>
-    errAsync(fail('store-unavailable', 'down', { step: 'table' }));
+    errAsync(fail('store-unavailable', 'the table is down', { step: 'table' }));
   const unknown = (): ResultAsync<Committed, StepError> =>
-    errAsync(fail('store-unknown', 'answer lost', { step: 'commit' }));
+    errAsync(fail('store-unknown', 'the answer was lost', { step: 'commit' }));
 
   const apply = ({ conditions, writes }: Transaction): ResultAsync<Committed, StepError> => {
     for (const { key, version } of conditions) {
--- a/tests/support/control-world.ts
+++ b/tests/support/control-world.ts
@@ -1,4 +1,4 @@
-/** Several control planes on one injected clock, over in-memory ports. */
+/** Control planes of several daemons on one simulated clock, with in-memory ports. */
 
 import { BehaviorSubject, NEVER, Subject } from 'rxjs';
 import { errAsync, okAsync } from 'neverthrow';
@@ -29,19 +29,19 @@
 
 export const EPOCH_START = 1_700_000_000_000;
 const STEP_MS = 100;
-/** More than any chain of answers takes. */
+/** Exceeds the number of microtasks that any chain of answers takes. */
 const MICROTASKS = 60;
 
 export interface FakeDaemon {
   readonly id: DaemonId;
-  /** How fast its monotonic clock runs. */
+  /** Rate of its monotonic clock relative to simulated time. */
   readonly rate: number;
   readonly control: DrivenControl;
-  /** Frozen or dead: its ticks don't run. */
+  /** While false, the daemon is suspended or stopped: it doesn't tick. */
   running: boolean;
-  /** Its next orders reach the engines only at `flushLate`; it takes them as lost. */
+  /** Number of its next orders that reach the engines only at `flushLate`; their answers are lost. */
   lateOrders: number;
-  /** Cut off from the other daemons, the table and the engines, each by itself. */
+  /** Partitions it from the other daemons, the table or the engines. */
   readonly cut: { gossip: boolean; table: boolean; engines: boolean };
   readonly received: Subject<GossipEntry>;
 }
@@ -54,29 +54,29 @@
   readonly listed: Map<InstanceId, InstanceEntry>;
   now(): number;
   advance(ms: number): Promise<void>;
-  /** Lets answers come in, no time passing. */
+  /** Runs pending promise callbacks without advancing time. */
   settle(): Promise<void>;
-  /** Orders and commits held back by the network arrive. */
+  /** Delivers the late orders and commits. */
   flushLate(): void;
-  /** Changes of groups and leases, as logged. */
+  /** Messages logged at info level: changes of groups and leases. */
   readonly log: readonly string[];
-  /** Orders sent under a fencing number that was not the domain's newest. */
+  /** Orders sent with a fencing number older than the domain's newest. */
   readonly staleOrders: readonly string[];
   addDaemon(id: string): Promise<FakeDaemon>;
-  /** Stops a daemon for good, without handing anything back. */
+  /** Stops a daemon for good without releasing its leases. */
   kill(daemon: FakeDaemon): void;
   addEngine(id: string, domain: string, options?: { checksFencing?: boolean }): FakeEngine;
-  /** Groups with their epochs that each running daemon would give requests to. */
+  /** For each running daemon, its routable groups of a model as `id@epoch`, joined by spaces. */
   routable(model: string): readonly string[];
 }
 
 export interface WorldOptions {
   readonly seed?: number;
   readonly loadMs?: number;
-  /** How far the daemons' clocks run apart, as a share. */
+  /** Relative drift of the daemons' clocks, such as 0.03. */
   readonly drift?: number;
   readonly settings?: ControlOverrides;
-  /** Runs after each step of time. */
+  /** Called after each step of simulated time. */
   readonly onStep?: (world: World) => void;
 }
 
@@ -163,7 +163,9 @@
   const engineOf = (self: () => FakeDaemon): Engine => {
     const find = (address: string) =>
       self().cut.engines ? undefined : engines.get(address.replace(/:1$/, ''));
-    const unreachable = errAsync(fail('unavailable', 'not reached', { step: 'engine' }));
+    const unreachable = errAsync(
+      fail('unavailable', 'the engine is unreachable', { step: 'engine' }),
+    );
     return {
       report: (address) => {
         const engine = find(address);
@@ -178,7 +180,9 @@
           late.push(() =>
             obey(engine, order, { fencing: by.fencing, loadedAt: now + loadMs }, now),
           );
-          return errAsync(fail('backend-lost', 'answer lost', { step: 'order', peer: address }));
+          return errAsync(
+            fail('backend-lost', 'the answer was lost', { step: 'order', peer: address }),
+          );
         }
         const answer = obey(engine, order, { fencing: by.fencing, loadedAt: now + loadMs }, now);
         if (answer === 'done') return okAsync(reportOf(engine));
@@ -188,11 +192,12 @@
   };
 
   const tableOf = (self: () => FakeDaemon): Table => {
-    const cut = () => errAsync(fail('store-unavailable', 'cut off', { step: 'table' }));
+    const unreachable = () =>
+      errAsync(fail('store-unavailable', 'the table is unreachable', { step: 'table' }));
     return {
-      read: (keys) => (self().cut.table ? cut() : table.read(keys)),
-      scan: (prefix, after) => (self().cut.table ? cut() : table.scan(prefix, after)),
-      commit: (tx) => (self().cut.table ? cut() : table.commit(tx)),
+      read: (keys) => (self().cut.table ? unreachable() : table.read(keys)),
+      scan: (prefix, after) => (self().cut.table ? unreachable() : table.scan(prefix, after)),
+      commit: (tx) => (self().cut.table ? unreachable() : table.commit(tx)),
     };
   };
 
@@ -297,7 +302,7 @@
   return undefined;
 }
 
-/** Values of all rows below a prefix. */
+/** Values of all rows whose keys begin with a prefix. */
 export function rowsBelow(table: FakeTable, prefix: string): readonly Json[] {
   return [...table.rows.values()]
     .filter(({ key }) => key.startsWith(prefix))
--- a/tests/support/fake-hub.ts
+++ b/tests/support/fake-hub.ts
@@ -1,4 +1,4 @@
-/** Gossip and direct messages between daemons of one process, with faults, for tests of parts. */
+/** A fake of gossip and direct messages between daemons of one process, with fault injection. */
 
 import { Subject } from 'rxjs';
 
@@ -20,11 +20,11 @@
 
 export interface FakeHub {
   join(id: string, configVersion: () => ConfigVersion): HubMember;
-  /** Daemons that neither send nor get anything. */
+  /** Partitioned daemons, which neither send nor receive. */
   readonly cut: Set<string>;
-  /** Drops gossip, leaving direct messages. */
+  /** `loseGossip` drops gossip but not direct messages. */
   readonly faults: { loseGossip: boolean };
-  /** Lets a test change what is sent. */
+  /** Transforms each gossip entry on delivery; a test may replace it. */
   tamper: (entry: GossipEntry) => GossipEntry;
 }
 
@@ -36,7 +36,7 @@
 }
 
 export function createFakeHub(): FakeHub {
-  const lines = new Map<string, Connection>();
+  const connections = new Map<string, Connection>();
   const published: GossipEntry[] = [];
   let counter = 0;
 
@@ -47,14 +47,14 @@
     tamper: (entry) => entry,
   };
 
-  function reaches(from: string, to: string): boolean {
+  function isReachable(from: string, to: string): boolean {
     return from !== to && !hub.cut.has(from) && !hub.cut.has(to);
   }
 
-  function spread(entry: GossipEntry): void {
+  function deliver(entry: GossipEntry): void {
     if (hub.faults.loseGossip) return;
-    for (const [id, line] of lines) {
-      if (reaches(entry.origin, id)) line.entries.next(hub.tamper(entry));
+    for (const [id, connection] of connections) {
+      if (isReachable(entry.origin, id)) connection.entries.next(hub.tamper(entry));
     }
   }
 
@@ -68,7 +68,7 @@
         const entry = { topic, key, origin: self, version: counter, value, expiresAt };
         published.push(entry);
         queueMicrotask(() => {
-          spread(entry);
+          deliver(entry);
         });
       },
       received: entries,
@@ -76,18 +76,18 @@
     };
     const direct: DirectMessaging = {
       send: (to, topic, value) => {
-        const line = lines.get(to);
-        if (!line || !reaches(id, to)) return false;
+        const connection = connections.get(to);
+        if (!connection || !isReachable(id, to)) return false;
         queueMicrotask(() => {
-          line.messages.next({ from: self, topic, value });
+          connection.messages.next({ from: self, topic, value });
         });
         return true;
       },
       received: messages,
     };
     const peers = (): readonly PeerInfo[] =>
-      [...lines.values()]
-        .filter(({ member }) => member.self === id || reaches(id, member.self))
+      [...connections.values()]
+        .filter(({ member }) => member.self === id || isReachable(id, member.self))
         .map(({ member, configVersion: version }) => ({
           id: member.self,
           address: member.self,
@@ -96,7 +96,7 @@
           configVersion: version(),
         }));
     const member: HubMember = { self, gossip, direct, peers };
-    lines.set(id, { member, entries, messages, configVersion });
+    connections.set(id, { member, entries, messages, configVersion });
     return member;
   }
 
--- a/tests/support/membership-daemons.ts
+++ b/tests/support/membership-daemons.ts
@@ -1,4 +1,4 @@
-/** Membership parts of several daemons in this process, over loopback TCP. */
+/** Membership parts of several daemons in this process, connected by loopback TCP. */
 
 import { createServer } from 'node:net';
 import type { AddressInfo, Socket } from 'node:net';
@@ -16,20 +16,20 @@
   readonly id: DaemonId;
   readonly address: string;
   readonly part: Membership;
-  /** Set by the test. */
+  /** Version in force that the part announces; set by the test. */
   configVersion: number;
-  /** Codes of the errors it logged. */
+  /** Codes of the errors that it logged. */
   readonly alarms: string[];
 }
 
 export interface Fleet {
   readonly daemons: readonly TestDaemon[];
-  /** Cuts all links of a daemon with the others until healed. */
+  /** Partitions a daemon from all others until `heal`. */
   cut(id: string): void;
   heal(id: string): void;
-  /** Existing links of a daemon go silent without breaking; new ones work. */
+  /** Stops traffic on a daemon's open links without closing them; new links work. */
   silence(id: string): void;
-  /** Starts one more daemon; `id` may be that of one that was stopped. */
+  /** Starts another daemon; `id` may be that of a stopped daemon. */
   add(id: string): Promise<TestDaemon>;
   stop(): Promise<void>;
 }
@@ -38,7 +38,7 @@
   readonly count: number;
   readonly settings?: Partial<MembershipPartSettings>;
   readonly tls?: PeerTls;
-  /** Each daemon knows only this many first ones. */
+  /** Number of first daemons that serve as seeds; defaults to all. */
   readonly seeds?: number;
 }
 
@@ -54,7 +54,7 @@
   links: { longestMs: 100 },
 };
 
-/** Ports that nobody listens on, each told once. */
+/** Loopback addresses with free ports, all different. */
 export async function freeAddresses(count: number): Promise<readonly string[]> {
   const servers = Array.from({ length: count }, () => createServer());
   const addresses: string[] = [];
@@ -76,8 +76,8 @@
   };
 }
 
-/** Sockets by their two ends, so that a pair of daemons can be cut apart. */
-function createWires(): {
+/** Tracks the dialled sockets by their two addresses, to break or silence a daemon's links. */
+function createLinks(): {
   dialFor: (from: string) => (address: string) => Socket;
   cut: Set<string>;
   breakLinks: (address: string) => void;
@@ -108,10 +108,10 @@
 export async function startFleet(options: FleetOptions): Promise<Fleet> {
   const { count, settings = QUICK, tls, seeds = count } = options;
   const addresses = await freeAddresses(count);
-  const wires = createWires();
+  const links = createLinks();
   const daemons: TestDaemon[] = [];
 
-  function make(id: string, address: string): TestDaemon {
+  function createDaemon(id: string, address: string): TestDaemon {
     const alarms: string[] = [];
     const daemon: TestDaemon = {
       id: id as DaemonId,
@@ -122,7 +122,7 @@
         self: { id: id as DaemonId, address, zone: 'rennes' as ZoneId },
         seeds: addresses.slice(0, seeds),
         secret: 'test-secret',
-        ...(tls ? { tls } : { dial: wires.dialFor(address) }),
+        ...(tls ? { tls } : { dial: links.dialFor(address) }),
         instances: { list: () => okAsync([]) },
         configVersion: () => daemon.configVersion as ConfigVersion,
         clock: createClock(),
@@ -139,23 +139,23 @@
     return daemons.find((daemon) => daemon.id === id)?.address ?? '';
   }
 
-  addresses.forEach((address, i) => make(`daemon-${i}`, address));
+  addresses.forEach((address, i) => createDaemon(`daemon-${i}`, address));
   await Promise.all(daemons.map(({ part }) => part.start()));
   return {
     daemons,
     cut: (id) => {
-      wires.cut.add(addressOf(id));
-      wires.breakLinks(addressOf(id));
+      links.cut.add(addressOf(id));
+      links.breakLinks(addressOf(id));
     },
     heal: (id) => {
-      wires.cut.delete(addressOf(id));
+      links.cut.delete(addressOf(id));
     },
     silence: (id) => {
-      wires.silenceLinks(addressOf(id));
+      links.silenceLinks(addressOf(id));
     },
     add: async (id) => {
       const [address = ''] = await freeAddresses(1);
-      const daemon = make(id, address);
+      const daemon = createDaemon(id, address);
       await daemon.part.start();
       return daemon;
     },
@@ -165,16 +165,16 @@
   };
 }
 
-/** Looks again and again until `condition` holds; fails the test after ten seconds. */
+/** Polls until `condition` holds; throws after ten seconds. */
 export async function until(what: string, condition: () => boolean): Promise<void> {
   const deadline = performance.now() + 10_000;
   while (!condition()) {
-    if (performance.now() > deadline) throw new Error(`never came true: ${what}`);
+    if (performance.now() > deadline) throw new Error(`timed out after 10 s waiting for: ${what}`);
     await new Promise((resolve) => setTimeout(resolve, 5));
   }
 }
 
-/** What `viewer` believes of `id`. */
+/** State of `id` in the view of `viewer`, or `gone`. */
 export function beliefOf(viewer: TestDaemon, id: string): string {
   return viewer.part.peers().find((peer) => peer.id === id)?.state ?? 'gone';
 }
