--- a/src/app/control/briefing.ts
+++ b/src/app/control/briefing.ts
@@ -20,6 +20,7 @@
   readonly plans: () => Readonly<Record<ModelId, ModelPlan>>;
 }
 
+/** Sends inputs to the reducers of held domains. */
 export interface DomainInputs {
   /** Sends the current inputs to one domain. */
   update(domain: DomainId): void;
--- a/src/app/control/context.ts
+++ b/src/app/control/context.ts
@@ -12,6 +12,7 @@
 import type { ConfigView, Gossip, MembershipView } from '../parts';
 import type { ControlOverrides, ControlSettings } from './settings';
 
+/** Dependencies of the control plane. */
 export interface ControlDeps {
   readonly self: DaemonId;
   readonly table: Table;
--- a/src/app/control/control.ts
+++ b/src/app/control/control.ts
@@ -56,6 +56,7 @@
 
 type TaskName = 'list' | 'leases' | 'groups' | 'roles' | 'brief' | 'state';
 
+/** Creates the control part; call `start` before use. */
 export function createControl(deps: ControlDeps, options: ControlOptions = {}): DrivenControl {
   const ctx = createContext(deps);
   const { clock, settings } = ctx;
--- a/src/app/control/demand.ts
+++ b/src/app/control/demand.ts
@@ -6,6 +6,7 @@
 import type { ControlContext } from './context';
 import type { Probes } from './probes';
 
+/** On-demand probes with a backoff for each group. */
 export interface OnDemandProbes {
   /** Probes an unroutable group, with exponential backoff between probes. */
   readonly want: (state: WatchState) => void;
--- a/src/app/control/directory.ts
+++ b/src/app/control/directory.ts
@@ -6,6 +6,7 @@
 import { logFailure, settleCall } from './context';
 import type { ControlContext } from './context';
 
+/** The engine instances of the platform, by id and by domain. */
 export interface Directory {
   /** Reads the list again; a failed read keeps the previous list. */
   readonly poll: () => void;
@@ -22,6 +23,7 @@
   has(instance: InstanceId): boolean;
 }
 
+/** Creates an empty directory; `onChange` is called after each successful read. */
 export function createDirectory(ctx: ControlContext, onChange: () => void): Directory {
   let byId = new Map<InstanceId, InstanceInfo>();
   let byDomain = new Map<DomainId, readonly InstanceInfo[]>();
--- a/src/app/control/due.ts
+++ b/src/app/control/due.ts
@@ -3,6 +3,7 @@
 import { later } from '../../core/ids';
 import type { MonoTime } from '../../core/ids';
 
+/** Tracks when each task is due next. */
 export interface PeriodicTasks<K extends string> {
   /** Runs `work` if the task is due and schedules its next run; the first call always runs it. */
   runIfDue(task: K, now: MonoTime, everyMs: number, work: () => void): void;
--- a/src/app/control/gossip.ts
+++ b/src/app/control/gossip.ts
@@ -34,12 +34,14 @@
 const LEAVING_TTL_MS = 3_600_000;
 const LOADS_TTL_MS = 10_000;
 
+/** Called for messages of peers. */
 export interface ControlGossipHooks {
   leaving(instance: InstanceId): void;
   /** A peer sees the group complete; its statement is valid until then. */
   vouched(group: GroupId, domain: DomainId, until: MonoTime): void;
 }
 
+/** Publishes and receives the gossip of the control plane. */
 export interface ControlGossip {
   start(): void;
   stop(): void;
--- a/src/app/control/held-domains.ts
+++ b/src/app/control/held-domains.ts
@@ -24,6 +24,7 @@
   readonly reason: string;
 }
 
+/** Notified of what the held domains do. */
 export interface HeldDomainHooks {
   /** Called for each group of a commit that is known to have taken effect. */
   onGroupWritten(group: WrittenGroup): void;
@@ -37,6 +38,7 @@
   onAcquired(domain: DomainId): void;
 }
 
+/** States of the domains whose leases this daemon holds. */
 export interface HeldDomains {
   /** Adds and removes domains as their leases are acquired and lost. */
   sync(): void;
--- a/src/app/control/leases.ts
+++ b/src/app/control/leases.ts
@@ -9,6 +9,7 @@
 import { peersSignature } from './peers';
 import type { ControlStore, LeaseRows } from './store';
 
+/** Lease states of all known domains. */
 export interface Leases {
   /** Adds a domain, so that this daemon may acquire its lease. */
   addDomain(domain: DomainId, zone?: ZoneId): void;
--- a/src/app/control/losses.ts
+++ b/src/app/control/losses.ts
@@ -14,6 +14,7 @@
   readonly domainDark: boolean;
 }
 
+/** Detects outages among lost groups. */
 export interface Losses {
   note(change: WatchChange): void;
   readonly lost: Observable<LostGroup>;
--- a/src/app/control/probes.ts
+++ b/src/app/control/probes.ts
@@ -14,6 +14,7 @@
   silent(instance: InstanceId, sentAt: MonoTime): void;
 }
 
+/** Sends the probes of this daemon. */
 export interface Probes {
   /** Sets the instances to probe each interval, with their addresses. */
   assign(targets: ReadonlyMap<InstanceId, string>): void;
@@ -25,6 +26,7 @@
   readonly assignedCount: number;
 }
 
+/** An instance to probe and its address. */
 export interface ProbeTarget {
   readonly instance: InstanceId;
   readonly address: string;
--- a/src/app/control/roles.ts
+++ b/src/app/control/roles.ts
@@ -13,6 +13,7 @@
 import { peersSignature } from './peers';
 import type { Watches } from './watches';
 
+/** The probing duties of this daemon. */
 export interface Roles {
   /** Instances to probe, with their addresses. */
   targets(): ReadonlyMap<InstanceId, string>;
--- a/src/app/control/settings.ts
+++ b/src/app/control/settings.ts
@@ -5,6 +5,7 @@
 import { LEASE_SETTINGS } from '../../core/lease/types';
 import type { LeaseSettings } from '../../core/lease/types';
 
+/** Settings of the control plane; times in milliseconds. */
 export interface ControlSettings {
   readonly lease: LeaseSettings;
   readonly domain: DomainSettings;
--- a/src/app/control/setup.ts
+++ b/src/app/control/setup.ts
@@ -28,6 +28,7 @@
   return plans;
 }
 
+/** The error of draining an instance that the platform does not list. */
 export function unknownInstanceError(instance: InstanceId): StepError {
   return fail('not-found', 'instance is not in the platform list', {
     step: 'drain-instance',
--- a/src/app/control/shortfall-metrics.ts
+++ b/src/app/control/shortfall-metrics.ts
@@ -6,6 +6,7 @@
 import type { ModelId, MonoTime } from '../../core/ids';
 import type { ControlContext } from './context';
 
+/** Totals of the shortfall in held domains since the start of this daemon. */
 export interface ShortfallMetrics {
   /** Adds the shortfall of the held domains over the time since the last call. */
   add(held: readonly DomainState[]): void;
--- a/src/app/control/status.ts
+++ b/src/app/control/status.ts
@@ -10,6 +10,7 @@
 import type { Intervals } from './settings';
 import type { Watches } from './watches';
 
+/** State that the status is built from. */
 export interface StatusSources {
   readonly leases: Leases;
   readonly watches: Watches;
--- a/src/app/control/store.ts
+++ b/src/app/control/store.ts
@@ -38,6 +38,7 @@
   readonly drained: readonly InstanceId[];
 }
 
+/** Commit effect of the lease reducer. */
 export type LeaseCommit = Extract<LeaseEffect, { kind: 'commit' }>;
 
 /** Versions of a lease's two rows after a commit. */
@@ -46,6 +47,7 @@
   readonly fenceVersion: number;
 }
 
+/** Typed access to the control plane's rows; errors are those of the table. */
 export interface ControlStore {
   scanLeases(): ResultAsync<readonly LeaseRows[], StepError>;
   readLease(domain: DomainId): ResultAsync<LeaseRows, StepError>;
--- a/src/app/control/view.ts
+++ b/src/app/control/view.ts
@@ -18,6 +18,7 @@
 /** Time within which an on-demand probe is expected to be answered. */
 const EXPECTED_PROBE_MS = 100;
 
+/** The group view offered to the request plane, with its inputs. */
 export interface View extends GroupView {
   /** Handles a group that became or stopped being routable. */
   onWatchChange(change: WatchChange): void;
--- a/src/app/control/watches.ts
+++ b/src/app/control/watches.ts
@@ -19,6 +19,7 @@
   readonly kind: 'ready' | 'lost';
 }
 
+/** Watch states of all known groups. */
 export interface Watches {
   /** Applies a scan of all groups in the table that began at `since`. */
   sync(rows: readonly Versioned<GroupRow>[], since: MonoTime): void;
