--- a/tests/gateway/boundary.test.ts
+++ b/tests/gateway/boundary.test.ts
@@ -10,13 +10,13 @@
     .map((name) => join(dir, name));
 }
 
-/** Names of the platform alone; `last-event-id` is the published name of a header. */
+/** Names used only by the platform; `last-event-id` is the published name of a header. */
 const NAMES = [...Object.values(HEADERS), ...Object.values(PATHS)].filter((name) =>
   /nutmegstack|^\/api\/|^server-/.test(name),
 );
 
 describe('the product', () => {
-  it.each(sources('src'))('%s names nothing of the platform', (path) => {
+  it.each(sources('src'))('%s contains no names of the platform', (path) => {
     const text = readFileSync(path, 'utf8').toLowerCase();
     expect(NAMES.filter((name) => text.includes(name))).toEqual([]);
     expect(text).not.toMatch(
@@ -24,7 +24,7 @@
     );
   });
 
-  it('keeps the adapter small', () => {
+  it('keeps the platform adapter below its size limit', () => {
     const lines = sources('platform').map((path) => readFileSync(path, 'utf8').split('\n').length);
     expect(lines.reduce((sum, count) => sum + count, 0)).toBeLessThan(1_500);
   });
--- a/tests/gateway/bounded-lines.test.ts
+++ b/tests/gateway/bounded-lines.test.ts
@@ -18,7 +18,7 @@
 }
 
 describe('a bounded log', () => {
-  it('leaves out what is beyond the budget, and says how much', () => {
+  it('drops lines beyond the budget and reports their number', () => {
     const { lines, clock, write } = setUp();
     for (let i = 0; i < 50; i++) write(INFO);
     expect(lines).toHaveLength(5);
@@ -27,14 +27,14 @@
     expect(lines.at(-1)).toContain('"count":45');
   });
 
-  it('keeps warnings while ordinary lines are left out', () => {
+  it('keeps warnings while ordinary lines are dropped', () => {
     const { lines, write } = setUp();
     for (let i = 0; i < 50; i++) write(INFO);
     write(WARNING);
     expect(lines.at(-1)).toBe(WARNING);
   });
 
-  it('never writes more than the burst and the rate allow', () => {
+  it('never exceeds burst and rate', () => {
     const { lines, clock, write } = setUp();
     for (let i = 0; i < 1_000; i++) {
       clock.now = i * 10;
--- a/tests/gateway/config-view.test.ts
+++ b/tests/gateway/config-view.test.ts
@@ -15,8 +15,8 @@
 
 const CONFIG_MS = 1_000;
 
-describe('a quick series of versions', () => {
-  it('takes a few calls, and ends with the newest one in force in time', async () => {
+describe('a rapid series of versions', () => {
+  it('needs few calls and puts the newest version in force in time', async () => {
     const ctx = makeContext({ tunables: { configMs: CONFIG_MS } });
     let newest = 1;
     let calls = 0;
@@ -44,11 +44,14 @@
   });
 });
 
-describe('a daemon whose leader tells how old its own knowledge is', () => {
+describe('a daemon whose leader reports the age of its configuration', () => {
   const WATCHED_MS = 12_000;
   const SETTLE_MS = 3_000;
 
-  /** Polls sent in the time watched, of a store that is never heard of again after the first answer. */
+  /**
+   * Counts polls during the watched time, with a store that never answers again after the first
+   * answer.
+   */
   const countPolls = async (progress: Partial<PeerProgress> | undefined): Promise<number> => {
     const clock = createFakeClock();
     const ctx = makeContext({
@@ -72,14 +75,14 @@
         );
       },
     };
-    const told = {
+    const baseProgress = {
       ...{ configVersion: 1, serversAt: position(1), storeEra: FIRST_ERA },
       ...{ isStoreLost: false, storeAgeMs: 0 },
     };
     const view = createConfigView(ctx, {
       feed,
       daemons: () => 70,
-      leader: () => progress && { at: clock.now(), progress: { ...told, ...progress } },
+      leader: () => progress && { at: clock.now(), progress: { ...baseProgress, ...progress } },
     });
     await vi.advanceTimersByTimeAsync(WATCHED_MS);
     view.watch.stop();
@@ -88,16 +91,16 @@
 
   fakeTime();
 
-  it('leaves its poll out while that is young', async () => {
+  it('keeps its poll open while that is fresh', async () => {
     expect(await countPolls({ configAgeMs: 1_000 })).toBe(1);
   });
 
   it.each([
-    { told: undefined, why: 'there is no leader' },
-    { told: { configAgeMs: SETTLE_MS }, why: 'that is old' },
-    { told: { configAgeMs: 0, configVersion: 2 }, why: 'the leader knows another version' },
-    { told: {}, why: 'the leader does not tell' },
-  ])('asks anew within the time to settle where $why', async ({ told }) => {
-    expect(await countPolls(told)).toBeGreaterThanOrEqual(WATCHED_MS / SETTLE_MS);
+    { progress: undefined, why: 'there is no leader' },
+    { progress: { configAgeMs: SETTLE_MS }, why: 'the reported age is too high' },
+    { progress: { configAgeMs: 0, configVersion: 2 }, why: 'the leader knows another version' },
+    { progress: {}, why: 'the leader reports no age' },
+  ])('polls again within the settling time if $why', async ({ progress }) => {
+    expect(await countPolls(progress)).toBeGreaterThanOrEqual(WATCHED_MS / SETTLE_MS);
   });
 });
--- a/tests/gateway/fake-time.ts
+++ b/tests/gateway/fake-time.ts
@@ -1,4 +1,4 @@
-/** Time that a test moves on by itself. */
+/** Fake timers and a fake clock for tests. */
 
 import { afterEach, beforeEach, vi } from 'vitest';
 
@@ -6,7 +6,7 @@
 import type { EpochTime, MonoTime } from '../../src/core/ids';
 import type { Clock } from '../../src/ports/runtime';
 
-/** Fakes the timers and the date of each test of a file or a block. */
+/** Fakes the timers and the date for each test of a file or a block. */
 export function fakeTime(): void {
   beforeEach(() => {
     vi.useFakeTimers({
@@ -19,8 +19,8 @@
 }
 
 /**
- * A clock over the faked time of a test. Every look finds it a little later, as real ones do: a decision
- * that takes two looks for the same instant shows.
+ * A clock over fake time. Each reading is slightly later than the last, as with real clocks, to
+ * expose code that assumes that two readings are equal.
  */
 export function createFakeClock(): Clock {
   const STEP_MS = 0.01;
--- a/tests/gateway/fleet-links.test.ts
+++ b/tests/gateway/fleet-links.test.ts
@@ -38,11 +38,11 @@
   };
   const fleet = createFleet(ctx, entries);
   await fleet.start();
-  const speaker = setInterval(() => {
+  const broadcastTimer = setInterval(() => {
     fleet.broadcast(makeState());
   }, 100);
   closers.push(() => {
-    clearInterval(speaker);
+    clearInterval(broadcastTimer);
     return fleet.stop();
   });
   return fleet;
@@ -66,21 +66,22 @@
   return { fleets, proxies };
 }
 
-const heard = (fleets: readonly Fleet[]): number[] => fleets.map((fleet) => fleet.live().length);
+const countLivePeers = (fleets: readonly Fleet[]): number[] =>
+  fleets.map((fleet) => fleet.live().length);
 
-describe('daemons whose links have fallen silent without an error', () => {
+describe('daemons whose links fell silent without an error', () => {
   it.each([
     { which: 'all links', muted: [0, 1] },
     { which: 'the links to one of them', muted: [0] },
     { which: 'the links to the other', muted: [1] },
-  ])('hear of each other again over new ones within the time to settle: $which', async (row) => {
+  ])('reconnect within the settling time: $which', async (row) => {
     const { fleets, proxies } = await startPair();
-    expect(heard(fleets)).toEqual([1, 1]);
+    expect(countLivePeers(fleets)).toEqual([1, 1]);
     for (const n of row.muted) proxies[n]?.mute();
     await pause(SETTLE_MS + 200);
-    // Heard of within the last second and a half, so over links that were made since.
-    expect(heard(fleets)).toEqual([1, 1]);
+    // Live means heard from in the last 1.5 s, so these links were made after the disruption.
+    expect(countLivePeers(fleets)).toEqual([1, 1]);
     await pause(2_000);
-    expect(heard(fleets)).toEqual([1, 1]);
+    expect(countLivePeers(fleets)).toEqual([1, 1]);
   });
 });
--- a/tests/gateway/fleet-model.ts
+++ b/tests/gateway/fleet-model.ts
@@ -1,6 +1,7 @@
 /**
- * A fleet of daemons before replica groups, in virtual time and without a network: the daemons' own boards,
- * waiting rooms and choices, engines with a queue behind their places, and loads that are told late.
+ * Simulates a fleet of daemons and replica groups in virtual time without a network: the daemons'
+ * own group registries, wait queues and slot selection, engines with a queue, and delayed load
+ * updates.
  */
 
 import { BehaviorSubject, Subject } from 'rxjs';
@@ -38,24 +39,24 @@
 import { SERVICE, SMALL } from './support';
 
 const STEP_MS = 10;
-/** Daemons tell their loads, and the leader their sum, at this interval. */
+/** Interval at which daemons send their loads and the leader publishes the sum. */
 const REPORT_MS = 200;
-/** From a statement to those that hear of the sum of all. */
-const ON_ITS_WAY_MS = 100;
+/** Delay from a daemon's report until the others receive the sum. */
+const PROPAGATION_MS = 100;
 const LOAD_FACTS = { coversMost: true, isLeaderless: false, ageMs: 2 * REPORT_MS };
 const TARGET_MS = 300;
-/** Callers leave a stream without an event after this. */
+/** Callers abandon a stream without an event after this. */
 const PATIENCE_MS = 2_000;
-const PLACE_WITHIN_MS = 1_300;
+const SLOT_TIMEOUT_MS = 1_300;
 const MAX_PAUSE_MS = 200;
 const PROMPT_TOKENS = 700;
 const EVENTS = 30;
-const MOST_ATTEMPTS = 2;
+const MAX_ATTEMPTS = 2;
 
 export interface FleetModelOptions {
   readonly daemons: number;
   readonly groups: number;
-  /** Arrivals, as a part of what all groups can serve. */
+  /** Arrival rate, as a fraction of the capacity of all groups. */
   readonly load: number;
   readonly seed: number;
 }
@@ -75,14 +76,14 @@
   readonly board: GroupRegistry;
   readonly waiting: WaitQueue;
   readonly arrivals: Arrivals;
-  readonly place: (request: ModelRequest) => ServingGroup | undefined;
-  told: PeerState | undefined;
+  readonly takeSlot: (request: ModelRequest) => ServingGroup | undefined;
+  lastState: PeerState | undefined;
 }
 
 interface Stream {
   readonly request: ModelRequest;
   readonly sentAt: number;
-  /** Undefined while it waits in the engine. */
+  /** Undefined while the stream waits in the engine. */
   nextEventAt: number | undefined;
   lastEventAt: number | undefined;
   events: number;
@@ -91,16 +92,16 @@
 interface ModelGroup {
   readonly head: BackendServer;
   streams: Stream[];
-  /** Prompts are read one after the other. */
-  readUntil: number;
+  /** Prompts are prefilled one after the other. */
+  prefillUntil: number;
 }
 
 const SPEC = ENGINE.models.find(({ name }) => name === SMALL);
 const PACE = SPEC?.pace ?? 1;
 const FULL_PAUSE_MS = expectedPauseMs(ENGINE, PACE, ENGINE.batchSize);
-const READ_MS = (PACE * PROMPT_TOKENS) / ENGINE.prefillTokensPerMs;
+const PREFILL_MS = (PACE * PROMPT_TOKENS) / ENGINE.prefillTokensPerMs;
 /** Requests a second that a full group serves. */
-const GROUP_RATE = (1_000 * ENGINE.batchSize) / (READ_MS + EVENTS * FULL_PAUSE_MS);
+const GROUP_RATE = (1_000 * ENGINE.batchSize) / (PREFILL_MS + EVENTS * FULL_PAUSE_MS);
 
 const TABLE = {
   config: { services: [{ name: SERVICE, engine: ENGINE }] },
@@ -110,19 +111,19 @@
 export interface FleetModel {
   readonly requests: readonly ModelRequest[];
   run(ms: number): void;
-  /** The first `count` groups are lost with their streams. */
+  /** Removes the first `count` groups with their streams. */
   loseGroups(count: number): void;
-  /** As many new ones are formed. */
+  /** Adds `count` new groups. */
   formGroups(count: number): void;
-  /** From now on nobody sums the loads of all: each daemon hears of no other. */
+  /** From now on nobody sums the loads: each daemon receives those of no other. */
   loseLeader(): void;
-  /** Most requests that stood in one engine beyond its places, since the last call. */
+  /** Maximum number of requests in one engine beyond its slots, since the last call. */
   longestQueue(): number;
-  /** The part of the arrivals of a span of time that was served on time. */
+  /** Fraction of the requests that arrived in a time span and were served on time. */
   onTime(from: number, to: number): number;
 }
 
-/** Needs faked timers. */
+/** Requires fake timers. */
 export function createFleetModel({
   daemons: size,
   groups: count,
@@ -138,14 +139,14 @@
   };
   const servers = new Map<InstanceId, BackendServer>();
   const changes = new Subject<void>();
-  const roster = { servers, changes } as unknown as ServerRegistry;
+  const serverRegistry = { servers, changes } as unknown as ServerRegistry;
   let groups: ModelGroup[] = [];
   const requests: ModelRequest[] = [];
   let formed = 0;
   let longest = 0;
   let nextArrivalAt = 0;
-  let toldAt = 0;
-  let isLed = true;
+  let nextReportAt = 0;
+  let hasLeader = true;
   const rate = load * count * GROUP_RATE;
 
   let firstEvents: FirstEventStats | undefined;
@@ -155,14 +156,14 @@
     const settings = { zone: brandAs<ZoneId>('a') };
     const ctx = makeContext({ clock, settings, seed: seed * 1_000 + n });
     const table = new BehaviorSubject<RouteTable | undefined>(TABLE);
-    const board = createGroupRegistry(ctx, roster, table, makeThrottle(ctx));
+    const board = createGroupRegistry(ctx, serverRegistry, table, makeThrottle(ctx));
     const waiting = createWaitQueue(ctx, board);
     const arrivals = createArrivals(ctx);
     const daemon: ModelDaemon = {
       board,
       waiting,
       arrivals,
-      place: ({ tried, arrivedAt }) =>
+      takeSlot: ({ tried, arrivedAt }) =>
         takeSlot(
           { ctx, board, waiting, arrivals, daemons: () => size },
           {
@@ -171,7 +172,7 @@
             isLate: now() >= arrivedAt + slackMs(),
           },
         ),
-      told: undefined,
+      lastState: undefined,
     };
     board.stalls.subscribe(({ head }) => {
       const group = groups.find((one) => one.head.id === head);
@@ -190,13 +191,13 @@
     else board.noteEnded(head.id, 0, now() - sentAt);
   };
 
-  /** Streams that are lost or moved go on at another group, if they may. */
+  /** Streams that are lost or moved are retried at another group if they have attempts left. */
   const drop = (group: ModelGroup, isDropped: (stream: Stream) => boolean): void => {
     const dropped = group.streams.filter(isDropped);
     group.streams = group.streams.filter((stream) => !dropped.includes(stream));
     for (const stream of dropped) {
       release(group, stream);
-      if (stream.request.attempts < MOST_ATTEMPTS) seek(stream.request);
+      if (stream.request.attempts < MAX_ATTEMPTS) dispatch(stream.request);
       else end(stream.request, 'failed');
     }
   };
@@ -215,21 +216,21 @@
     }
   };
 
-  const seek = (request: ModelRequest): void => {
+  const dispatch = (request: ModelRequest): void => {
     const { daemon, arrivedAt } = request;
-    const group = daemon.place(request);
+    const group = daemon.takeSlot(request);
     if (group) {
       send(request, group);
       return;
     }
-    const until = later(at(arrivedAt), PLACE_WITHIN_MS);
+    const until = later(at(arrivedAt), SLOT_TIMEOUT_MS);
     const entry = {
       ...{ model: SMALL, priority: 1, until, arrivedAt: at(arrivedAt), holdMs: 1_000 },
       onTimeUntil: later(at(arrivedAt), slackMs()),
       gone: new AbortController().signal,
       isRetry: request.tried.size > 0,
       choose: () => {
-        const found = daemon.place(request);
+        const found = daemon.takeSlot(request);
         if (found) send(request, found);
         return found;
       },
@@ -250,7 +251,7 @@
       };
       requests.push(request);
       daemon.arrivals.note(SMALL);
-      seek(request);
+      dispatch(request);
     }
   };
 
@@ -258,8 +259,8 @@
     const { request } = stream;
     const { board } = request.daemon;
     if (stream.nextEventAt === undefined) {
-      group.readUntil = Math.max(group.readUntil, now()) + READ_MS;
-      stream.nextEventAt = group.readUntil + FULL_PAUSE_MS;
+      group.prefillUntil = Math.max(group.prefillUntil, now()) + PREFILL_MS;
+      stream.nextEventAt = group.prefillUntil + FULL_PAUSE_MS;
     }
     if (now() < stream.nextEventAt) return true;
     if (stream.events === 0) {
@@ -281,19 +282,19 @@
     events === 0 && now() >= request.arrivedAt + PATIENCE_MS;
 
   const serve = (group: ModelGroup): void => {
-    const left = group.streams.filter(hasLeft);
+    const abandoned = group.streams.filter(hasLeft);
     const ended = group.streams
-      .filter((stream) => !left.includes(stream))
+      .filter((stream) => !abandoned.includes(stream))
       .slice(0, ENGINE.batchSize)
       .filter((stream) => !advance(group, stream));
     longest = Math.max(longest, group.streams.length - ENGINE.batchSize);
-    group.streams = group.streams.filter((one) => !ended.includes(one) && !left.includes(one));
-    for (const { request } of left) end(request, 'caller gone');
+    group.streams = group.streams.filter((one) => !ended.includes(one) && !abandoned.includes(one));
+    for (const { request } of abandoned) end(request, 'caller gone');
     for (const { request } of ended) {
       const first = request.firstEventAt ?? Infinity;
       end(request, first - request.arrivedAt <= TARGET_MS ? 'on time' : 'late');
     }
-    for (const stream of [...left, ...ended]) release(group, stream);
+    for (const stream of [...abandoned, ...ended]) release(group, stream);
   };
 
   const stateOf = ({ board, waiting, arrivals }: ModelDaemon): PeerState =>
@@ -303,9 +304,9 @@
     });
 
   const report = (): void => {
-    if (now() < toldAt) return;
-    toldAt = now() + REPORT_MS;
-    if (!isLed) {
+    if (now() < nextReportAt) return;
+    nextReportAt = now() + REPORT_MS;
+    if (!hasLeader) {
       for (const { board } of daemons) {
         board.applyLoads(sumLoads([]), { ...LOAD_FACTS, coversMost: false, isLeaderless: true });
       }
@@ -318,7 +319,7 @@
         const own = states[n];
         daemon.board.applyLoads(own ? withoutOwn(sums, own) : sums, LOAD_FACTS);
       });
-    }, ON_ITS_WAY_MS);
+    }, PROPAGATION_MS);
   };
 
   const formGroups = (more: number): void => {
@@ -326,17 +327,17 @@
       formed += 1;
       const head = makeServer(`${formed}`, { model: SMALL, ...inGroup(`g${formed}`, 0, 'open') });
       servers.set(head.id, head);
-      groups.push({ head, streams: [], readUntil: now() });
+      groups.push({ head, streams: [], prefillUntil: now() });
     }
     changes.next();
   };
 
   const loseGroups = (lost: number): void => {
-    const gone = groups.slice(0, lost);
+    const lostGroups = groups.slice(0, lost);
     groups = groups.slice(lost);
-    for (const { head } of gone) servers.delete(instance(head.id));
+    for (const { head } of lostGroups) servers.delete(instance(head.id));
     changes.next();
-    for (const group of gone) drop(group, () => true);
+    for (const group of lostGroups) drop(group, () => true);
   };
 
   const run = (ms: number): void => {
@@ -350,8 +351,8 @@
   };
 
   const onTime = (from: number, to: number): number => {
-    const asked = requests.filter(({ arrivedAt }) => arrivedAt >= from && arrivedAt < to);
-    return asked.filter(({ outcome }) => outcome === 'on time').length / asked.length;
+    const arrived = requests.filter(({ arrivedAt }) => arrivedAt >= from && arrivedAt < to);
+    return arrived.filter(({ outcome }) => outcome === 'on time').length / arrived.length;
   };
 
   const longestQueue = (): number => {
@@ -361,7 +362,7 @@
   };
 
   const loseLeader = (): void => {
-    isLed = false;
+    hasLeader = false;
   };
 
   formGroups(count);
--- a/tests/gateway/fleet-polls.test.ts
+++ b/tests/gateway/fleet-polls.test.ts
@@ -11,55 +11,55 @@
 import { FIRST_ERA } from '../../src/core/store-era';
 import { makeConfig, makeContext, position } from './support';
 
-/** As in a fleet that speaks by way of its leader. */
-const TELL_MS = 200;
+/** As in a fleet that communicates through its leader. */
+const BROADCAST_MS = 200;
 const LEADER_FRESH_MS = 1_200;
 const LONGEST_POLL_S = 20;
 
 const configOf = (version: number): GatewayConfig => makeConfig({ version: brandAs(version) });
 
-/** A leader and its followers, which hear of its progress as long as it speaks. */
+/** A leader and its followers, which receive its progress as long as it broadcasts. */
 function startFleet(size: number, { configMs, settleMs }: { configMs: number; settleMs: number }) {
   const store = createSilentStore();
   store.put('config', configOf(1));
   const feed = store.feed<GatewayConfig>('config');
   const clock = createFakeClock();
-  let told: Leader | undefined;
+  let lastMessage: Leader | undefined;
   const view = (seed: number, leader: () => Leader | undefined): ConfigView => {
     const ctx = makeContext({ tunables: { configMs, settleMs }, clock, seed });
     return createConfigView(ctx, { feed, daemons: () => size, leader });
   };
-  const heard = (): Leader | undefined =>
-    told && clock.now() < told.at + LEADER_FRESH_MS ? told : undefined;
-  const leading = view(0, () => undefined);
+  const recentLeader = (): Leader | undefined =>
+    lastMessage && clock.now() < lastMessage.at + LEADER_FRESH_MS ? lastMessage : undefined;
+  const leaderView = view(0, () => undefined);
   const views = [
-    leading,
-    ...Array.from({ length: size - 1 }, (_, n) => view(n + 1, () => heard())),
+    leaderView,
+    ...Array.from({ length: size - 1 }, (_, n) => view(n + 1, () => recentLeader())),
   ];
-  const speaker = setInterval(() => {
-    told = {
+  const broadcastTimer = setInterval(() => {
+    lastMessage = {
       id: brandAs<DaemonId>('leader'),
       address: 'leader',
       via: 'leader',
       at: clock.now(),
       progress: {
-        configVersion: leading.version(),
+        configVersion: leaderView.version(),
         serversAt: position(1),
         storeEra: FIRST_ERA,
         isStoreLost: false,
         storeAgeMs: 0,
-        configAgeMs: leading.watch.ageMs(),
+        configAgeMs: leaderView.watch.ageMs(),
       },
     };
-  }, TELL_MS);
+  }, BROADCAST_MS);
   const silenceLeader = (): void => {
-    clearInterval(speaker);
+    clearInterval(broadcastTimer);
   };
   const stop = (): void => {
     silenceLeader();
     for (const { watch } of views) watch.stop();
   };
-  /** Changes the configuration, and counts the daemons without it after the time to settle. */
+  /** Changes the configuration and counts the daemons that lack it after the settling time. */
   const countLate = async (): Promise<number> => {
     store.put('config', configOf(2));
     await vi.advanceTimersByTimeAsync(settleMs);
@@ -75,7 +75,7 @@
   { size: 6, bounds: { configMs: 2_000, settleMs: 3_000 } },
   { size: 30, bounds: { configMs: 3_000, settleMs: 4_000 } },
 ])('a fleet of $size daemons', ({ size, bounds }) => {
-  it('asks as seldom as the longest polls allow, its leader alone more often', async () => {
+  it('polls as seldom as the longest polls allow; only its leader polls more often', async () => {
     const { store, stop } = startFleet(size, bounds);
     await vi.advanceTimersByTimeAsync(30_000);
     const before = store.calls();
@@ -88,7 +88,7 @@
   });
 
   it.each([0, 1_000, 4_000, 8_000])(
-    'has a change in force everywhere in time after %i ms without the store',
+    'has a change in force on all daemons in time after %i ms without the store',
     async (silentMs) => {
       const { store, countLate } = startFleet(size, bounds);
       await vi.advanceTimersByTimeAsync(30_000);
@@ -99,7 +99,7 @@
     },
   );
 
-  it('has one in force in time where its leader and the connections fall silent together', async () => {
+  it('has a change in force in time if its leader and all connections fall silent together', async () => {
     const { store, silenceLeader, countLate } = startFleet(size, bounds);
     await vi.advanceTimersByTimeAsync(30_000);
     silenceLeader();
--- a/tests/gateway/gateway-fixture.ts
+++ b/tests/gateway/gateway-fixture.ts
@@ -1,4 +1,7 @@
-/** Daemons before servers that say something of themselves in their answers, with callers that keep asking. */
+/**
+ * Starts daemons with stand-in servers whose response headers a test can set, and sends requests to
+ * them.
+ */
 
 import type { ChildProcess } from 'node:child_process';
 import { mkdtempSync, rmSync } from 'node:fs';
@@ -20,7 +23,7 @@
 const SERVER_PORTS = 100;
 const LOOK_MS = 50;
 
-/** A request with its answer, where there was one. */
+/** A request with its answer, if there was one. */
 export interface SentRequest {
   readonly requestId: string;
   readonly daemon: number;
@@ -31,9 +34,9 @@
 
 export interface GatewayFixture {
   readonly platform: PlatformStandIn;
-  /** Heads of the groups that serve the model now. */
+  /** Heads of the groups that currently serve the model. */
   heads(model: string): readonly ServerName[];
-  /** Sends `perS` requests a second to each daemon, one after the other over all of them, for `ms`. */
+  /** Sends `perS` requests a second to each daemon, round robin, for `ms` milliseconds. */
   sendRequests(path: string, perS: number, ms: number): Promise<readonly SentRequest[]>;
   close(): void;
 }
@@ -81,7 +84,7 @@
   await until(() => platform.fleet.serving(SMALL) === 2 && platform.fleet.serving(LARGE) === 2);
 
   let lastId = 0;
-  const askOnce = async (path: string, daemon: number): Promise<SentRequest> => {
+  const sendOnce = async (path: string, daemon: number): Promise<SentRequest> => {
     const requestId = `request-${lastId++}`;
     const sentAt = performance.now();
     const options = { requestId, key: KEY, model: SMALL, body: 'events=3', waitMs: 3_000 };
@@ -102,7 +105,7 @@
       const all: Promise<SentRequest>[] = [];
       for (let n = 0; n < (perS * daemons * ms) / 1_000; n++) {
         await pause(startedAt + (n * 1_000) / (perS * daemons) - performance.now());
-        all.push(askOnce(path, n % daemons));
+        all.push(sendOnce(path, n % daemons));
       }
       return Promise.all(all);
     },
--- a/tests/gateway/group-registry.test.ts
+++ b/tests/gateway/group-registry.test.ts
@@ -31,10 +31,10 @@
   ...{ service: SERVICE, model: SMALL, maxPauseMs: 250 },
   tried: new Set<InstanceId>(),
 };
-/** Loads of all, just told. */
-const HEARD = { coversMost: true, isLeaderless: false, ageMs: 200 };
+/** Load facts of a fresh update that covers all daemons. */
+const FRESH_LOADS = { coversMost: true, isLeaderless: false, ageMs: 200 };
 
-/** A board with the servers of one open group in the roster, and a clock of its own. */
+/** A registry with the servers of one open group, on a manual clock. */
 function setUp() {
   const clock = createClock();
   let now = clock.now();
@@ -42,37 +42,37 @@
   const servers = new Map(openGroup().map((server) => [server.id, server]));
   const routes = new BehaviorSubject<RouteTable | undefined>(undefined);
   const ctx = makeContext({ clock: { ...clock, now: () => now } });
-  const roster = { servers, changes } as unknown as ServerRegistry;
-  const board = createGroupRegistry(ctx, roster, routes, makeThrottle(ctx));
-  const heads = () => board.candidates(NEEDS).map(({ head }) => head);
-  /** The process runs, and looks about it as often as it should. */
+  const serverRegistry = { servers, changes } as unknown as ServerRegistry;
+  const registry = createGroupRegistry(ctx, serverRegistry, routes, makeThrottle(ctx));
+  const heads = () => registry.candidates(NEEDS).map(({ head }) => head);
+  /** Advances time with regular ticks. */
   const run = (ms: number): void => {
     for (let passed = 0; passed < ms; passed += TICK_MS) {
       now = later(now, TICK_MS);
-      board.tick();
+      registry.tick();
     }
   };
-  /** The process does not run. */
-  const stand = (ms: number): void => {
+  /** Advances time without ticks, as if the process were not scheduled. */
+  const pauseProcess = (ms: number): void => {
     now = later(now, ms);
   };
   const stalls: InstanceId[] = [];
-  board.stalls.subscribe(({ head }) => stalls.push(head));
-  return { board, changes, routes, heads, run, stand, stalls };
+  registry.stalls.subscribe(({ head }) => stalls.push(head));
+  return { board: registry, changes, routes, heads, run, stand: pauseProcess, stalls };
 }
 
-/** As `setUp`, with the group in use by this daemon. */
+/** Like `setUp`, with routes and loads known, so that the group can be used. */
 function setUpServing() {
   const parts = setUp();
   parts.routes.next(TABLE);
   parts.changes.next();
-  parts.board.applyLoads({ running: [], paces: [], waiting: [] }, HEARD);
+  parts.board.applyLoads({ running: [], paces: [], waiting: [] }, FRESH_LOADS);
   parts.run(100);
   return parts;
 }
 
-describe('the groups that streams may be sent to', () => {
-  it('are known as soon as servers and configuration are, whichever came first', () => {
+describe('groups available to streams', () => {
+  it('are known once servers and configuration are, in either order', () => {
     const serversFirst = setUp();
     serversFirst.changes.next();
     expect(serversFirst.heads()).toEqual([]);
@@ -86,36 +86,36 @@
   });
 });
 
-describe('a group whose streams are silent', () => {
-  it('is seen to stand still once they were for longer than any pause', () => {
-    const { board, run, stalls } = setUpServing();
-    board.noteSent(HEAD, 100);
-    board.notePrefilled(HEAD, 100);
-    board.noteEvent(HEAD, undefined);
+describe('a group with silent streams', () => {
+  it('is reported as stalled once the silence exceeds the expected pauses', () => {
+    const { board: registry, run, stalls } = setUpServing();
+    registry.noteSent(HEAD, 100);
+    registry.notePrefilled(HEAD, 100);
+    registry.noteEvent(HEAD, undefined);
     run(450);
     expect(stalls).toEqual([]);
     run(200);
     expect(stalls).toEqual([HEAD]);
   });
 
-  it('is not where this process did not run: events that came meanwhile are not read yet', () => {
-    const { board, run, stand, stalls } = setUpServing();
-    board.noteSent(HEAD, 100);
-    board.notePrefilled(HEAD, 100);
-    board.noteEvent(HEAD, undefined);
-    stand(800);
+  it('is not reported while unread events may be pending after a pause of the process', () => {
+    const { board: registry, run, stand: pauseProcess, stalls } = setUpServing();
+    registry.noteSent(HEAD, 100);
+    registry.notePrefilled(HEAD, 100);
+    registry.noteEvent(HEAD, undefined);
+    pauseProcess(800);
     run(50);
     expect(stalls).toEqual([]);
     run(600);
     expect(stalls).toEqual([HEAD]);
   });
 
-  it('is given time for its first event by a daemon that has just started: others fill it unseen', () => {
-    const { board, routes, changes, run, stalls } = setUp();
+  it('gets more time for its first event while the loads of other daemons are unknown', () => {
+    const { board: registry, routes, changes, run, stalls } = setUp();
     routes.next(TABLE);
     changes.next();
     run(100);
-    board.noteSent(HEAD, 100);
+    registry.noteSent(HEAD, 100);
     run(1_900);
     expect(stalls).toEqual([]);
     run(200);
@@ -123,26 +123,26 @@
   });
 });
 
-describe('a group that is slow', () => {
-  it('is known as such by what other daemons saw, and no longer than they see it', () => {
-    const { board } = setUpServing();
-    const pace = () => board.candidates(NEEDS)[0]?.slowdown;
-    board.applyLoads({ running: [], paces: [[HEAD, 3.5]], waiting: [] }, HEARD);
-    expect(pace()).toBe(3.5);
-    board.applyLoads({ running: [], paces: [], waiting: [] }, HEARD);
-    expect(pace()).toBe(1);
+describe('a slow group', () => {
+  it("is known from other daemons' measurements, for as long as they report it", () => {
+    const { board: registry } = setUpServing();
+    const slowdown = () => registry.candidates(NEEDS)[0]?.slowdown;
+    registry.applyLoads({ running: [], paces: [[HEAD, 3.5]], waiting: [] }, FRESH_LOADS);
+    expect(slowdown()).toBe(3.5);
+    registry.applyLoads({ running: [], paces: [], waiting: [] }, FRESH_LOADS);
+    expect(slowdown()).toBe(1);
   });
 
-  it('is told of by a daemon that saw its events', () => {
-    const { board, run } = setUpServing();
-    board.noteSent(HEAD, 100);
-    board.notePrefilled(HEAD, 100);
-    board.noteEvent(HEAD, undefined);
+  it('is reported by a daemon that measured its events', () => {
+    const { board: registry, run } = setUpServing();
+    registry.noteSent(HEAD, 100);
+    registry.notePrefilled(HEAD, 100);
+    registry.noteEvent(HEAD, undefined);
     for (let n = 0; n < 20; n++) {
       run(200);
-      board.noteEvent(HEAD, 200);
+      registry.noteEvent(HEAD, 200);
     }
-    expect(board.paces()[0]?.[1]).toBeGreaterThan(2);
-    expect(board.quiet()).toEqual([[HEAD, 0]]);
+    expect(registry.paces()[0]?.[1]).toBeGreaterThan(2);
+    expect(registry.quiet()).toEqual([[HEAD, 0]]);
   });
 });
--- a/tests/gateway/large-fleet.test.ts
+++ b/tests/gateway/large-fleet.test.ts
@@ -14,7 +14,7 @@
 const PEERS = 69;
 const STALL = { group: brandAs<GroupId>('g'), head: brandAs<InstanceId>('s1') };
 
-/** One daemon of a fleet of 70, whose messages are noted in place of being sent. */
+/** One daemon of a fleet of 70 whose messages are recorded instead of sent. */
 function setUp({ isLeading = false, hasLeader = true, seed = 7, running = 0 } = {}) {
   const clock = createClock();
   let now = clock.now();
@@ -26,7 +26,7 @@
   const sent: { readonly to: string; readonly message: GatewayMessage }[] = [];
   const received = new Subject<ReceivedMessage>();
   const stalls = new Subject<typeof STALL>();
-  const note = (to: string) => (message: GatewayMessage) => sent.push({ to, message });
+  const record = (to: string) => (message: GatewayMessage) => sent.push({ to, message });
   const live: PeerView[] = isLeading
     ? Array.from({ length: PEERS }, (_, n) => ({
         ...makeState(),
@@ -71,13 +71,13 @@
       size: () => PEERS + 1,
       candidates: () => new Map(Array.from({ length: PEERS + 1 }, (_, n) => [`d${n}`, 1])),
       leader: () => (hasLeader && !isLeading ? { address: LEADER } : undefined),
-      send: (to: string, message: GatewayMessage) => note(to)(message),
-      answer: (_: unknown, message: GatewayMessage) => note(LEADER)(message),
-      broadcast: note('all'),
-      broadcastAsLeader: note('all'),
+      send: (to: string, message: GatewayMessage) => record(to)(message),
+      answer: (_: unknown, message: GatewayMessage) => record(LEADER)(message),
+      broadcast: record('all'),
+      broadcastAsLeader: record('all'),
       tick: () => undefined,
       silent: () => [],
-      sendToLikelyLeaders: note('likely leaders'),
+      sendToLikelyLeaders: record('likely leaders'),
     },
     planner: { noteTraffic: () => undefined, inspect: () => undefined, lost: new Subject() },
     leadership: {
@@ -98,20 +98,20 @@
       gossip.tick();
     }
   };
-  const hear = (message: PlainMessage, address = LEADER): void => {
+  const receive = (message: PlainMessage, address = LEADER): void => {
     received.next({ from: brandAs<DaemonId>('peer'), address, via: address, message });
   };
   return {
     sent,
     run,
-    hear,
+    hear: receive,
     stalls,
     wait: (ms: number) => (now = later(now, ms) satisfies MonoTime),
   };
 }
 
 describe('a daemon of a large fleet', () => {
-  it('speaks to the leader alone, so that messages grow with the daemons and not their square', () => {
+  it('sends to the leader only, so that the number of messages grows linearly', () => {
     const { sent, run, stalls } = setUp();
     run(3_000);
     stalls.next(STALL);
@@ -119,52 +119,52 @@
     expect(sent.length).toBeLessThanOrEqual(16);
   });
 
-  it('makes itself known to those that may lead while it hears of no leader', () => {
+  it('sends its state to likely leaders while it knows no leader', () => {
     const { sent, run } = setUp({ hasLeader: false });
     run(3_000);
     expect(new Set(sent.map(({ to }) => to))).toEqual(new Set(['likely leaders']));
   });
 
-  it('as the leader tells all what all together have, and who lives', () => {
+  it('as the leader, publishes the loads and the number of all daemons', () => {
     const { sent, run } = setUp({ isLeading: true });
     run(1_000);
     expect(sent.every(({ to, message }) => to === 'all' && message.kind === 'loads')).toBe(true);
     expect(sent[0]?.message).toMatchObject({ daemons: PEERS + 1, configVersion: 3 });
   });
 
-  it('as the leader passes a stall on to all once', () => {
-    const { sent, hear } = setUp({ isLeading: true });
-    hear({ kind: 'stalled', ...STALL, finding: 'seen' });
+  it('as the leader, publishes a confirmed stall once', () => {
+    const { sent, hear: receive } = setUp({ isLeading: true });
+    receive({ kind: 'stalled', ...STALL, finding: 'seen' });
     const message = { kind: 'stalled', ...STALL, finding: 'confirmed' };
     expect(sent).toEqual([{ to: 'all', message }]);
   });
 
-  it('as the leader keeps to itself what one daemon alone saw of a group that others use', () => {
-    const { sent, hear } = setUp({ isLeading: true, running: 20 });
-    hear({ kind: 'stalled', ...STALL, finding: 'seen' });
+  it('as the leader, does not publish a stall that only one daemon reported of a group used by others', () => {
+    const { sent, hear: receive } = setUp({ isLeading: true, running: 20 });
+    receive({ kind: 'stalled', ...STALL, finding: 'seen' });
     expect(sent).toEqual([]);
   });
 
-  it('as the leader gives a daemon without the store what it lacks, and no servers to one with it', () => {
-    const { sent, hear, wait } = setUp({ isLeading: true });
+  it('as the leader, sends servers only to a daemon that has lost the store', () => {
+    const { sent, hear: receive, wait } = setUp({ isLeading: true });
     const behind = { configVersion: 0, serversAt: position(0) };
-    hear(makeState(behind));
+    receive(makeState(behind));
     wait(400);
-    hear(makeState(behind), 'cut off');
+    receive(makeState(behind), 'cut off');
     wait(400);
-    hear(makeState({ ...behind, isStoreLost: true }), 'cut off');
+    receive(makeState({ ...behind, isStoreLost: true }), 'cut off');
     const kindsTo = (address: string) =>
       sent.filter(({ to }) => to === address).map(({ message }) => message.kind);
     expect(kindsTo(LEADER)).toEqual(['config']);
     expect(kindsTo('cut off')).toEqual(['config', 'servers']);
   });
 
-  it('leaves it to a few others to help a leader that is behind', () => {
+  it('lets only a few daemons help a leader that is behind', () => {
     const daemons = Array.from({ length: PEERS }, (_, seed) => setUp({ seed }));
     let helpers = 0;
-    for (const { sent, hear, wait } of daemons) {
+    for (const { sent, hear: receive, wait } of daemons) {
       wait(400);
-      hear(makeLoads({ configVersion: 1 }));
+      receive(makeLoads({ configVersion: 1 }));
       helpers += sent.length;
     }
     expect(helpers).toBeGreaterThan(0);
--- a/tests/gateway/leader.ts
+++ b/tests/gateway/leader.ts
@@ -1,4 +1,4 @@
-/** Runs the plan of groups against a simulated fleet, as the holder of the lease does. */
+/** Runs the group planner's core against a simulated fleet, as the lease holder does. */
 
 import { createFormingState } from '../../src/core/gateway/forming/state';
 import type { FormingMechanism, FormingState } from '../../src/core/gateway/forming/state';
@@ -13,9 +13,9 @@
 export interface LeaderOptions {
   readonly engine?: EngineSpec;
   readonly hasTraffic?: boolean;
-  /** Delay of an order that is carried out late, by the number of the order. */
+  /** Delay in the execution of an order, by the number of the order. */
   readonly lateMs?: (n: number) => number;
-  /** Work of each model, in groups that it would keep busy. */
+  /** Offered load of each model, in full groups. */
   readonly demand?: ReadonlyMap<ModelId, number>;
   /** Mechanisms that are switched off. */
   readonly without?: readonly FormingMechanism[];
@@ -62,12 +62,12 @@
     run: (ms: number): void => {
       for (let passed = 0; passed < ms; passed += TICK_MS) step();
     },
-    /** Another daemon takes the lease; it knows nothing but what servers report. */
+    /** Another daemon takes over the lease; it knows only what servers report. */
     replace: (): void => {
       fencing += 1;
       state = createFormingState({ disabledMechanisms: without });
     },
-    /** Callers come from now on; the fleet's own loads keep their speed. */
+    /** Traffic starts; the fleet's own weight loads keep their speed. */
     beginTraffic: (): void => {
       hasTraffic = true;
     },
--- a/tests/gateway/leadership.test.ts
+++ b/tests/gateway/leadership.test.ts
@@ -14,19 +14,20 @@
 
 const OWN = brandAs<DaemonId>('own');
 
-/** The only daemon in line for the lease, before a store that may turn it away. */
+/** The only candidate for the lease, with a store that can refuse its calls. */
 function setUp() {
   const clock = createClock();
   const start = clock.now();
   const epoch = clock.epoch();
   let now = start;
-  let isTurnedAway = false;
+  let isRefusing = false;
   let version = 0;
-  const refused = () => errAsync(fail('store-unavailable', 'turned away', { step: 'test' }));
+  const refused = () =>
+    errAsync(fail('store-unavailable', 'refused by the test', { step: 'test' }));
   const table = {
-    read: () => (isTurnedAway ? refused() : okAsync({ era: FIRST_ERA, rows: [] })),
+    read: () => (isRefusing ? refused() : okAsync({ era: FIRST_ERA, rows: [] })),
     commit: ({ writes }: Parameters<EraTable['commit']>[0]) => {
-      if (isTurnedAway) return refused();
+      if (isRefusing) return refused();
       version += 1;
       return okAsync({ versions: Object.fromEntries(writes.map(({ key }) => [key, version])) });
     },
@@ -44,7 +45,7 @@
       await new Promise((resolve) => setImmediate(resolve));
     }
   };
-  return { leadership, run, turnAway: () => (isTurnedAway = true) };
+  return { leadership, run, turnAway: () => (isRefusing = true) };
 }
 
 function successorOf(fencing: number): NonNullable<PeerState['lease']> {
@@ -63,32 +64,32 @@
 }
 
 describe('the leader', () => {
-  it('speaks for the fleet while its lease holds', async () => {
+  it('publishes its lease while the lease is valid', async () => {
     const { leadership, run } = setUp();
     await run(5_000);
     expect(leadership.heldFencing()).toBe(1);
     expect(leadership.ownLease()?.row.holder).toBe(OWN);
   });
 
-  it('speaks no more once its lease has run out, also where the store turns it away', async () => {
-    const { leadership, run, turnAway } = setUp();
+  it('stops publishing its lease once it has expired, even if the store refuses calls', async () => {
+    const { leadership, run, turnAway: refuseCalls } = setUp();
     await run(5_000);
-    turnAway();
+    refuseCalls();
     await run(3_000);
     expect(leadership.heldFencing()).toBeUndefined();
     expect(leadership.ownLease()).toBeUndefined();
   });
 
-  it('gives way to its successor as soon as it hears of it', async () => {
-    const { leadership, run, turnAway } = setUp();
+  it('yields to its successor as soon as it learns of it', async () => {
+    const { leadership, run, turnAway: refuseCalls } = setUp();
     await run(5_000);
-    turnAway();
+    refuseCalls();
     leadership.notePeerLease(successorOf(1));
     expect(leadership.heldFencing()).toBeUndefined();
     expect(leadership.ownLease()).toBeUndefined();
   });
 
-  it('does not give way to an earlier lease that is told late', async () => {
+  it('does not yield to an earlier lease that arrives late', async () => {
     const { leadership, run } = setUp();
     await run(5_000);
     leadership.notePeerLease(successorOf(0));
--- a/tests/gateway/lease-return.test.ts
+++ b/tests/gateway/lease-return.test.ts
@@ -15,7 +15,7 @@
   readonly client: EraClient;
 }
 
-/** Daemons before one store, on a clock of their own. Each is first in line in its own eyes. */
+/** Daemons sharing one store and a manual clock. Each ranks itself first among the candidates. */
 function setUp() {
   const clock = createClock();
   const [start, epoch] = [clock.now(), clock.epoch()];
@@ -53,7 +53,10 @@
   return { store, add, run, kill };
 }
 
-/** The store has come back, `b` holds the lease of the new era, and a take of `a` is on its way since the lost one. */
+/**
+ * The store was restored, `b` holds the lease of the new era, and a write of `a` from the lost era
+ * is still in transit.
+ */
 async function withWriteOfLostEra() {
   const daemons = setUp();
   const { store, add, run, kill } = daemons;
@@ -73,8 +76,8 @@
   return { ...daemons, owner, deliver };
 }
 
-describe('a write of a lost era that arrives after the return of the store', () => {
-  it('changes nothing of the lease of the new era', async () => {
+describe("a write of a lost era that arrives after the store's return", () => {
+  it('does not change the lease of the new era', async () => {
     const { owner, run, deliver } = await withWriteOfLostEra();
     await run(3_000, deliver);
     const fencing = owner.leadership.heldFencing();
@@ -85,7 +88,7 @@
     });
   });
 
-  it('leads to no fencing number that is given out twice', async () => {
+  it('does not cause a fencing number to be issued twice', async () => {
     const { owner, run, deliver, add, kill } = await withWriteOfLostEra();
     await run(3_000);
     const fencing = owner.leadership.heldFencing();
--- a/tests/gateway/leaving-server.test.ts
+++ b/tests/gateway/leaving-server.test.ts
@@ -20,15 +20,15 @@
   fixture.close();
 });
 
-describe('a server that says in its answers that it leaves', () => {
-  /** News of it is with all peers by then; the platform allows two seconds. */
+describe('a server that announces in its answers that it is leaving', () => {
+  /** By then all peers know of it; the platform allows two seconds. */
   const KNOWN_MS = 1_000;
 
-  // Guards against a server that is emptied only once the platform's list says so.
+  // Guards against draining a server only once the platform's list shows that it leaves.
   it.each([
     { what: 'a server of a plain service', path: '/safe/x' },
     { what: 'the head of a group', path: '/stream/x' },
-  ])('gets no request any more from any daemon: $what', async ({ path }) => {
+  ])('gets no more requests from any daemon: $what', async ({ path }) => {
     const isStream = path === '/stream/x';
     const servers = isStream
       ? fixture.heads(SMALL).slice(0, 1)
@@ -36,11 +36,11 @@
     const { says, arrivals } = fixture.platform.statements;
     for (const server of servers) says.set(server, { [HEADERS.leaving]: '1' });
     const from = performance.now();
-    const asked = await fixture.sendRequests(path, 10, 4_000);
+    const sent = await fixture.sendRequests(path, 10, 4_000);
     const late = arrivals.filter(
       ({ server, at }) => servers.includes(server) && at > from + KNOWN_MS,
     );
     expect(late).toEqual([]);
-    expect(asked.filter(({ reply }) => reply?.status !== 200)).toEqual([]);
+    expect(sent.filter(({ reply }) => reply?.status !== 200)).toEqual([]);
   });
 });
--- a/tests/gateway/leaving.test.ts
+++ b/tests/gateway/leaving.test.ts
@@ -15,7 +15,7 @@
 const LOADED_MS = 20;
 const AGAIN_MS = 200;
 
-/** A daemon whose list goes on showing the server as one that stays. */
+/** A daemon whose server list keeps showing the server as not leaving. */
 async function setUp() {
   const changes = [{ key: 's1', value: makeServer('s1') }];
   let revision = 0;
@@ -28,30 +28,34 @@
         position: position((revision += 1)),
       })),
   };
-  const roster = createServerRegistry(ctx, {
+  const serverRegistry = createServerRegistry(ctx, {
     feed,
     isLeading: () => true,
     leader: () => undefined,
   });
   await pause(LOADED_MS);
   let changed = 0;
-  roster.changes.subscribe(() => (changed += 1));
-  return { roster, leaving: createLeavingServers(ctx, roster), changes: () => changed };
+  serverRegistry.changes.subscribe(() => (changed += 1));
+  return {
+    roster: serverRegistry,
+    leaving: createLeavingServers(ctx, serverRegistry),
+    changes: () => changed,
+  };
 }
 
-describe('a server that says in an answer that it leaves', () => {
-  it('leaves at once, and whatever its entry goes on to say', async () => {
-    const { roster, leaving, changes } = await setUp();
-    leaving.note(SERVER);
+describe('a server that announces in an answer that it is leaving', () => {
+  it('is draining at once, whatever its entry shows', async () => {
+    const { roster: serverRegistry, leaving: leavingServers, changes } = await setUp();
+    leavingServers.note(SERVER);
     expect(changes()).toBe(1);
-    expect(roster.servers.get(SERVER)?.isDraining).toBe(true);
+    expect(serverRegistry.servers.get(SERVER)?.isDraining).toBe(true);
     await pause(2 * AGAIN_MS);
     expect(changes()).toBeGreaterThan(1);
-    expect(roster.servers.get(SERVER)?.isDraining).toBe(true);
-    roster.watch.stop();
+    expect(serverRegistry.servers.get(SERVER)?.isDraining).toBe(true);
+    serverRegistry.watch.stop();
   });
 
-  it('is told to peers once, by the daemon that it said so to, and by their leader', async () => {
+  it('is reported to peers once, by the daemon that received the answer and by the leader', async () => {
     const [here, peer] = await Promise.all([setUp(), setUp()]);
     here.leaving.note(SERVER);
     here.leaving.note(SERVER);
@@ -60,7 +64,7 @@
     expect(peer.roster.servers.get(SERVER)?.isDraining).toBe(true);
     expect(peer.leaving.report()).toEqual([]);
     expect(peer.leaving.report({ ofAll: true })).toEqual([SERVER]);
-    for (const { roster } of [here, peer]) roster.watch.stop();
+    for (const { roster: serverRegistry } of [here, peer]) serverRegistry.watch.stop();
   });
 
   it.each([
@@ -69,13 +73,13 @@
     ['0', false, 0],
     ['yes', false, 1],
     ['', false, 1],
-  ])('is read on the wire: %j', (text, isLeaving, unreadable) => {
+  ])('is parsed from the header: %j', (text, isLeaving, unreadable) => {
     const facts = dialect.readAnswer(200, { [HEADERS.leaving]: text });
     expect(facts.isLeaving).toBe(isLeaving);
     expect(facts.unreadable).toHaveLength(unreadable);
   });
 
-  it('is not the one that was meant, where another answers at its address', () => {
+  it('is not the intended one if another server answers at its address', () => {
     expect(dialect.readAnswer(421, { [HEADERS.leaving]: '1' }).isOfOther).toBe(true);
   });
 });
--- a/tests/gateway/line-writer.test.ts
+++ b/tests/gateway/line-writer.test.ts
@@ -4,7 +4,7 @@
 
 type Done = (err: NodeJS.ErrnoException | null, taken: number) => void;
 
-/** A descriptor whose writes end when the test says so. */
+/** A descriptor whose writes complete when the test says so. */
 function createSlowFd() {
   const written: string[] = [];
   const pending: { bytes: Buffer; done: Done }[] = [];
@@ -14,10 +14,10 @@
     write: (bytes: Buffer, done: Done) => {
       pending.push({ bytes, done });
     },
-    /** Ends the write in flight with `taken` bytes, or all. */
+    /** Completes the write in flight with `taken` bytes, or all of them. */
     take: (taken?: number) => {
       const next = pending.shift();
-      if (!next) throw new Error('nothing is being written');
+      if (!next) throw new Error('no write is in flight');
       const count = taken ?? next.bytes.length;
       written.push(next.bytes.subarray(0, count).toString());
       next.done(null, count);
@@ -26,7 +26,7 @@
 }
 
 describe('a line writer', () => {
-  it('gathers lines while a write is in flight', () => {
+  it('batches lines while a write is in flight', () => {
     const fd = createSlowFd();
     const lines = createLineWriter({ write: fd.write });
     for (const line of ['a', 'b', 'c']) expect(lines.write(line)).toBe(true);
@@ -36,7 +36,7 @@
     expect(fd.written).toEqual(['a\n', 'b\nc\n']);
   });
 
-  it('goes on where a write took a part', () => {
+  it('continues after a partial write', () => {
     const fd = createSlowFd();
     const lines = createLineWriter({ write: fd.write });
     lines.write('abcdef');
@@ -45,7 +45,7 @@
     expect(fd.written.join('')).toBe('abcdef\n');
   });
 
-  it('refuses lines once too many bytes wait, and takes them again later', () => {
+  it('refuses lines while too many bytes are buffered', () => {
     const fd = createSlowFd();
     const lines = createLineWriter({ write: fd.write, maxBytes: 8 });
     lines.write('first');
@@ -55,7 +55,7 @@
     expect(lines.write('x')).toBe(true);
   });
 
-  it('tells when all is written', async () => {
+  it('resolves drain() once everything is written', async () => {
     const fd = createSlowFd();
     const lines = createLineWriter({ write: fd.write });
     await lines.drain();
--- a/tests/gateway/loads.test.ts
+++ b/tests/gateway/loads.test.ts
@@ -28,7 +28,7 @@
     });
   });
 
-  it('count daemons only where requests wait, and new requests of all', () => {
+  it('count only daemons with waiting requests, but sum all arrival rates', () => {
     const busy = {
       running: [],
       paces: [],
@@ -37,7 +37,7 @@
     expect(sumLoads([busy, other]).waiting).toEqual([['large', 1, 4, 5.5]]);
   });
 
-  it('leave those of the others once the own part is taken off', () => {
+  it("give the other daemons' loads once the own part is subtracted", () => {
     const sums = sumLoads([own, other]);
     expect(withoutOwn(sums, own)).toEqual({
       running: [
@@ -51,10 +51,10 @@
   });
 });
 
-describe('the pace of a group', () => {
+describe('the slowdown of a group', () => {
   const seenBy = (...paces: [typeof A, number][]) => ({ running: [], paces, waiting: [] });
 
-  it('is the mean of what the daemons saw that had streams there', () => {
+  it('is the mean over the daemons with streams there', () => {
     const sums = sumLoads([seenBy([A, 3]), seenBy([A, 4]), seenBy([B, 2.5]), seenBy()]);
     expect(sums.paces).toEqual([
       [A, 3.5],
@@ -62,13 +62,13 @@
     ]);
   });
 
-  it('is not told where it is the usual one', () => {
+  it('is left out at normal speed', () => {
     expect(sumLoads([seenBy([A, 1.1]), seenBy([A, 1.2])]).paces).toEqual([]);
   });
 });
 
-describe('peers of which a few are told', () => {
-  it('are drawn without repetition', () => {
+describe('a random sample of peers', () => {
+  it('contains no peer twice', () => {
     let n = 0;
     const drawn = sample([1, 2, 3, 4, 5], 3, () => [0.9, 0, 0.5][n++] ?? 0);
     expect(new Set(drawn).size).toBe(3);
--- a/tests/gateway/rate-limits.test.ts
+++ b/tests/gateway/rate-limits.test.ts
@@ -23,7 +23,7 @@
 const SERVER = instance('s1');
 const NONE: KnownLimits = new Map();
 
-function named(perSecond: number, ms: number): KnownLimits {
+function knownLimit(perSecond: number, ms: number): KnownLimits {
   return noteAnswer(NONE, SERVER, { perSecond, sentAt: at(ms - 10) }, at(ms));
 }
 
@@ -31,33 +31,34 @@
   return Array.from({ length: count }, (_, n) => brandAs<DaemonId>(`d${n}`));
 }
 
-describe('what is known of limits', () => {
-  it('holds until an answer to a later request names none', () => {
-    const known = named(2, 100);
+describe('known limits', () => {
+  it('hold until an answer to a later request names none', () => {
+    const known = knownLimit(2, 100);
     const early = noteAnswer(known, SERVER, { sentAt: at(90) }, at(2_000));
     expect(early.get(SERVER)?.perSecond).toBe(2);
     const later = noteAnswer(known, SERVER, { sentAt: at(1_900) }, at(2_000));
     expect(later.get(SERVER)?.perSecond).toBeUndefined();
   });
 
-  it('holds throughout where it comes and goes with each answer', () => {
-    const known = noteAnswer(named(2, 100), SERVER, { sentAt: at(120) }, at(200));
+  it('hold throughout if only some answers name them', () => {
+    const known = noteAnswer(knownLimit(2, 100), SERVER, { sentAt: at(120) }, at(200));
     expect(known.get(SERVER)?.perSecond).toBe(2);
   });
 
-  it('rises by the word of a peer only where its request was sent after the lower limit was heard', () => {
-    const known = named(2, 1_000);
-    const limitBy = (perSecond: number | null, sentAgeMs: number, heardAgeMs: number) =>
-      mergeLimitUpdates(known, [[SERVER, perSecond, sentAgeMs, heardAgeMs]], at(1_200)).get(SERVER)
-        ?.perSecond;
+  it("rise by a peer's report only if its request was sent after the lower limit was received", () => {
+    const known = knownLimit(2, 1_000);
+    const limitBy = (perSecond: number | null, sentAgeMs: number, receivedAgeMs: number) =>
+      mergeLimitUpdates(known, [[SERVER, perSecond, sentAgeMs, receivedAgeMs]], at(1_200)).get(
+        SERVER,
+      )?.perSecond;
     expect(limitBy(5, 300, 100)).toBe(2);
     expect(limitBy(5, 150, 100)).toBe(5);
     expect(limitBy(null, 300, 0)).toBe(2);
     expect(limitBy(null, 150, 0)).toBeUndefined();
   });
 
-  it('falls at once, unless what was said is surely older', () => {
-    const known = named(2, 1_000);
+  it('fall at once unless the report is certainly older', () => {
+    const known = knownLimit(2, 1_000);
     expect(
       mergeLimitUpdates(known, [[SERVER, 1, 700, 100]], at(1_200)).get(SERVER)?.perSecond,
     ).toBe(1);
@@ -66,11 +67,12 @@
     ).toBe(2);
   });
 
-  // Guards against a process that reads, once it wakes, an answer of before as the latest word and tells it to all.
-  it('does not rise by an answer that was read long after it came', () => {
-    const low = named(1, 3_000);
+  // Guards against a process that, after a suspension, reads an old answer, treats it as the latest
+  // and publishes it.
+  it('do not rise by an answer that was read long after it arrived', () => {
+    const low = knownLimit(1, 3_000);
     const asleep = noteAnswer(
-      named(60, 1_000),
+      knownLimit(60, 1_000),
       SERVER,
       { perSecond: 60, sentAt: at(1_900) },
       at(5_000),
@@ -83,15 +85,15 @@
     ).toBe(1);
   });
 
-  it('is passed on as servers said it here, and as others told it only where it is collected for them', () => {
+  it('are sent to peers if servers named them here; those from peers only when collected for all', () => {
     const known = mergeLimitUpdates(NONE, [[SERVER, 5, 100, 50]], at(1_000));
     expect(listLimitUpdates(known, at(1_100))).toEqual([]);
     expect(listLimitUpdates(known, at(1_100), { ofAll: true })).toEqual([[SERVER, 5, 200, 150]]);
-    expect(listLimitUpdates(named(2, 1_000), at(1_100))).toEqual([[SERVER, 2, 110, 100]]);
+    expect(listLimitUpdates(knownLimit(2, 1_000), at(1_100))).toEqual([[SERVER, 2, 110, 100]]);
   });
 
-  it('forgets servers that are gone, and keeps what the others said however long ago', () => {
-    const known = named(2, 0);
+  it('are dropped for removed servers and kept for others however old they are', () => {
+    const known = knownLimit(2, 0);
     expect(pruneLimits(known, () => false, at(60_000)).size).toBe(1);
     expect(pruneLimits(known, () => true, at(60_000)).size).toBe(0);
   });
@@ -109,89 +111,89 @@
     }
   });
 
-  it('of a server that takes nothing is a request now and then, which tells when it takes more', () => {
+  it('of a server that accepts nothing still allows occasional probe requests', () => {
     const [self = brandAs<DaemonId>('d0')] = daemonIds(1);
     const { perSecond } = shareOf({ server: SERVER, limitPerS: 0, self, daemons: [self] });
     expect(perSecond).toBeGreaterThan(0);
     expect(perSecond).toBeLessThanOrEqual(0.2);
   });
 
-  it('counts silent daemons out only where most are heard', () => {
+  it('excludes unresponsive daemons only if a majority responds', () => {
     const daemons = daemonIds(7);
     expect(listUnresponsive(daemons, new Set(daemons.slice(0, 4)))).toEqual(daemons.slice(4));
     expect(listUnresponsive(daemons, new Set(daemons.slice(0, 3)))).toEqual([]);
   });
 });
 
-describe('the turns of a daemon', () => {
+describe('the tokens of a daemon', () => {
   function setUp(daemons: () => readonly DaemonId[] = () => [brandAs<DaemonId>('d0')]) {
     let ms = 0;
     const clock = { now: () => at(ms), epoch: () => brandAs<EpochTime>(ms) };
     const ctx = makeContext({ clock, settings: { id: brandAs<DaemonId>('d0') } });
-    const limits = createRateLimits(ctx, {
+    const rateLimits = createRateLimits(ctx, {
       daemons,
       isRemoved: () => false,
       publish: () => undefined,
     });
-    return { limits, wait: (more: number) => (ms += more) };
+    return { limits: rateLimits, wait: (more: number) => (ms += more) };
   }
 
   it('are unlimited until a server names a limit, and again once it names none', () => {
-    const { limits, wait } = setUp();
-    expect(limits.tokens(SERVER)).toBe(Infinity);
-    limits.noteAnswer(SERVER, { perSecond: 2, sentAt: at(0) });
-    expect(limits.tokens(SERVER)).toBe(0);
-    expect(limits.msUntilToken(SERVER)).toBe(500);
+    const { limits: rateLimits, wait } = setUp();
+    expect(rateLimits.tokens(SERVER)).toBe(Infinity);
+    rateLimits.noteAnswer(SERVER, { perSecond: 2, sentAt: at(0) });
+    expect(rateLimits.tokens(SERVER)).toBe(0);
+    expect(rateLimits.msUntilToken(SERVER)).toBe(500);
     wait(500);
-    expect(limits.tokens(SERVER)).toBe(1);
-    limits.takeToken(SERVER);
-    expect(limits.tokens(SERVER)).toBe(0);
+    expect(rateLimits.tokens(SERVER)).toBe(1);
+    rateLimits.takeToken(SERVER);
+    expect(rateLimits.tokens(SERVER)).toBe(0);
     wait(1_000);
-    limits.noteAnswer(SERVER, { sentAt: at(1_200) });
-    expect(limits.tokens(SERVER)).toBe(Infinity);
+    rateLimits.noteAnswer(SERVER, { sentAt: at(1_200) });
+    expect(rateLimits.tokens(SERVER)).toBe(Infinity);
   });
 
-  it('wake requests that wait for one, once each', () => {
-    const { limits, wait } = setUp();
-    limits.noteAnswer(SERVER, { perSecond: 2, sentAt: at(0) });
-    expect(limits.tick()).toBe(false);
+  it('wake waiting requests once each', () => {
+    const { limits: rateLimits, wait } = setUp();
+    rateLimits.noteAnswer(SERVER, { perSecond: 2, sentAt: at(0) });
+    expect(rateLimits.tick()).toBe(false);
     wait(600);
-    expect(limits.tick()).toBe(true);
-    expect(limits.tick()).toBe(false);
+    expect(rateLimits.tick()).toBe(true);
+    expect(rateLimits.tick()).toBe(false);
   });
 
-  it('are none for a daemon that does not send to the server, and the pace of the others tells when to come back', () => {
+  it('are zero for a daemon that is no sender of the server, and Retry-After follows the limit', () => {
     const others = daemonIds(200).filter((self) => {
       const facts = { server: SERVER, limitPerS: 2, self, daemons: daemonIds(200) };
       return shareOf(facts).perSecond === 0;
     });
     expect(others).toContain('d0');
-    const { limits, wait } = setUp(() => daemonIds(200));
-    limits.noteAnswer(SERVER, { perSecond: 2, sentAt: at(0) });
-    limits.tick();
+    const { limits: rateLimits, wait } = setUp(() => daemonIds(200));
+    rateLimits.noteAnswer(SERVER, { perSecond: 2, sentAt: at(0) });
+    rateLimits.tick();
     wait(60_000);
-    limits.tick();
-    expect(limits.tokens(SERVER)).toBe(0);
-    expect(limits.msUntilToken(SERVER)).toBe(Infinity);
-    expect(limits.msUntilAccepted(SERVER)).toBe(500);
+    rateLimits.tick();
+    expect(rateLimits.tokens(SERVER)).toBe(0);
+    expect(rateLimits.msUntilToken(SERVER)).toBe(Infinity);
+    expect(rateLimits.msUntilAccepted(SERVER)).toBe(500);
   });
 });
 
 describe('a change of a limit', () => {
-  // Guards against senders that go on for as long as nobody leads them.
-  it('is told at once to those that send to the server, before and after it', () => {
+  // Guards against senders that exceed a lowered limit for as long as there is no leader.
+  it('is sent at once to the daemons that send to the server, before and after it', () => {
     const clock = { now: () => at(100), epoch: () => brandAs<EpochTime>(100) };
     const all = daemonIds(200);
     const ctx = makeContext({ clock, settings: { id: brandAs<DaemonId>('d0') } });
     const sent: [readonly DaemonId[], readonly LimitUpdate[]][] = [];
-    const limits = createRateLimits(ctx, {
+    const rateLimits = createRateLimits(ctx, {
       daemons: () => all,
       isRemoved: () => false,
       publish: (daemons, told) => sent.push([daemons, told]),
     });
-    limits.noteAnswer(SERVER, { perSecond: 8, sentAt: at(50) });
-    limits.noteAnswer(SERVER, { perSecond: 8, sentAt: at(60) });
-    limits.noteAnswer(SERVER, { perSecond: 0, sentAt: at(70) });
+    rateLimits.noteAnswer(SERVER, { perSecond: 8, sentAt: at(50) });
+    rateLimits.noteAnswer(SERVER, { perSecond: 8, sentAt: at(60) });
+    rateLimits.noteAnswer(SERVER, { perSecond: 0, sentAt: at(70) });
     const senders = sendersOf(SERVER, 8, all).filter((id) => id !== 'd0');
     expect(sent).toEqual([
       [senders, [[SERVER, 8, 50, 0]]],
@@ -207,16 +209,19 @@
     [' 12 ', 12],
     ['3, 1.5', 1.5],
     ['3, x', 3],
-  ])('%j is read', (text, perSecond) => {
+  ])('%j is parsed', (text, perSecond) => {
     expect(dialect.readAnswer(200, { [HEADERS.limit]: text })).toMatchObject({
       limitPerS: perSecond,
       unreadable: [],
     });
   });
 
-  it.each(['', '-1', 'NaN', '1e400', 'Infinity', '1 2', '0x10'])('%j is not understood', (text) => {
-    const facts = dialect.readAnswer(200, { [HEADERS.limit]: text });
-    expect(facts.limitPerS).toBeUndefined();
-    expect(facts.unreadable).toEqual([{ about: 'limit', header: `${HEADERS.limit}: ${text}` }]);
-  });
+  it.each(['', '-1', 'NaN', '1e400', 'Infinity', '1 2', '0x10'])(
+    '%j is rejected as unreadable',
+    (text) => {
+      const facts = dialect.readAnswer(200, { [HEADERS.limit]: text });
+      expect(facts.limitPerS).toBeUndefined();
+      expect(facts.unreadable).toEqual([{ about: 'limit', header: `${HEADERS.limit}: ${text}` }]);
+    },
+  );
 });
--- a/tests/gateway/relaying.test.ts
+++ b/tests/gateway/relaying.test.ts
@@ -12,7 +12,7 @@
 const DAEMONS = 195;
 const LEADER = 0;
 const STEP_MS = 50;
-const SPEAK_MS = 200;
+const SEND_INTERVAL_MS = 200;
 
 const LOADS = makeLoads({ daemons: DAEMONS });
 
@@ -23,17 +23,17 @@
   sends: number;
 }
 
-/** A fleet whose messages arrive at once; one that is down neither speaks nor hears. */
-function createWorld() {
+/** A fleet with instant message delivery; a daemon that is down neither sends nor receives. */
+function createFleet() {
   const clock = createClock();
   let now = clock.now();
   const daemons: Daemon[] = [];
-  /** What the leader heard of each peer last. */
-  const heard = new Map<DaemonId, PeerView>();
+  /** The last state of each peer that the leader received. */
+  const lastStates = new Map<DaemonId, PeerView>();
 
   const addressOf = (n: number): string => `a${n}`;
 
-  const take = (n: number, via: string, message: GatewayMessage): void => {
+  const receive = (n: number, via: string, message: GatewayMessage): void => {
     const daemon = daemons[n];
     if (!daemon?.isUp) return;
     if (message.kind === 'relayed') {
@@ -49,12 +49,12 @@
     if (message.kind === 'state') {
       const from = Number(via.slice(1));
       const id = brandAs<DaemonId>(`d${from}`);
-      if (n === LEADER) heard.set(id, { ...message, id, address: via, at: now });
+      if (n === LEADER) lastStates.set(id, { ...message, id, address: via, at: now });
       else daemon.relaying.collect(id, via, message);
     }
     if (message.kind === 'states') {
       for (const { id, address, state } of message.states) {
-        heard.set(id, { ...state, id, address, at: now });
+        lastStates.set(id, { ...state, id, address, at: now });
       }
     }
   };
@@ -63,7 +63,7 @@
     const daemon = daemons[n];
     for (const address of addresses) {
       if (daemon) daemon.sends += 1;
-      take(Number(address.slice(1)), addressOf(n), message);
+      receive(Number(address.slice(1)), addressOf(n), message);
     }
   };
 
@@ -77,11 +77,11 @@
     daemons.push({ relaying, isUp: true, leader: undefined, sends: 0 });
   }
 
-  const everybody = daemons.map((_, n) => addressOf(n)).filter((_, n) => n !== LEADER);
+  const allPeers = daemons.map((_, n) => addressOf(n)).filter((_, n) => n !== LEADER);
 
-  const speak = (daemon: Daemon, n: number): void => {
+  const sendUpdate = (daemon: Daemon, n: number): void => {
     if (n === LEADER) {
-      daemon.relaying.broadcast(LOADS, [...heard.values()], everybody);
+      daemon.relaying.broadcast(LOADS, [...lastStates.values()], allPeers);
       return;
     }
     const { leader } = daemon;
@@ -101,54 +101,54 @@
         now = later(now, STEP_MS);
         daemons.forEach((daemon, n) => {
           if (!daemon.isUp) return;
-          if (passed % SPEAK_MS === 0) speak(daemon, n);
+          if (passed % SEND_INTERVAL_MS === 0) sendUpdate(daemon, n);
           daemon.relaying.flush(daemon.leader);
         });
       }
     },
-    /** Longest time since a daemon that is up heard the leader, milliseconds. */
+    /** Longest time since a running daemon received a message of the leader, milliseconds. */
     oldestMs: (): number =>
       Math.max(
         ...daemons.map(({ isUp, leader }, n) =>
           !isUp || n === LEADER ? 0 : leader ? now - leader.at : Infinity,
         ),
       ),
-    heardMs: (): number => Math.max(...[...heard.values()].map(({ at }) => now - at)),
+    heardMs: (): number => Math.max(...[...lastStates.values()].map(({ at }) => now - at)),
     relays: (): Set<string> =>
       new Set(daemons.flatMap(({ leader }) => (leader && leader.via !== 'a0' ? [leader.via] : []))),
   };
 }
 
 describe('a fleet of 195 daemons', () => {
-  it('hears its leader, and is heard, within half a second', () => {
-    const world = createWorld();
-    world.run(3_000);
-    expect(world.oldestMs()).toBeLessThanOrEqual(SPEAK_MS);
-    expect(world.heardMs()).toBeLessThanOrEqual(500);
+  it('exchanges messages with its leader within half a second', () => {
+    const fleet = createFleet();
+    fleet.run(3_000);
+    expect(fleet.oldestMs()).toBeLessThanOrEqual(SEND_INTERVAL_MS);
+    expect(fleet.heardMs()).toBeLessThanOrEqual(500);
   });
 
-  it('takes the leader no more sends a second than a tenth of what each alone would', () => {
-    const world = createWorld();
-    world.run(3_000);
-    const before = world.daemons[LEADER]?.sends ?? 0;
-    world.run(1_000);
-    expect((world.daemons[LEADER]?.sends ?? 0) - before).toBeLessThanOrEqual(
-      (DAEMONS * 1_000) / SPEAK_MS / 10,
+  it('costs the leader at most a tenth of the sends of direct messages', () => {
+    const fleet = createFleet();
+    fleet.run(3_000);
+    const before = fleet.daemons[LEADER]?.sends ?? 0;
+    fleet.run(1_000);
+    expect((fleet.daemons[LEADER]?.sends ?? 0) - before).toBeLessThanOrEqual(
+      (DAEMONS * 1_000) / SEND_INTERVAL_MS / 10,
     );
   });
 
-  it('is divided among others within a second when half of the relays are lost at once', () => {
-    const world = createWorld();
-    world.run(3_000);
-    const relays = [...world.relays()];
+  it('replaces its relays within a second when half of them are lost at once', () => {
+    const fleet = createFleet();
+    fleet.run(3_000);
+    const relays = [...fleet.relays()];
     expect(relays.length).toBeGreaterThan(5);
     for (const relay of relays.slice(0, relays.length / 2)) {
-      const lost = world.daemons[Number(relay.slice(1))];
+      const lost = fleet.daemons[Number(relay.slice(1))];
       if (lost) lost.isUp = false;
     }
-    world.run(1_000);
-    expect(world.oldestMs()).toBeLessThanOrEqual(1_000);
-    world.run(2_000);
-    expect(world.oldestMs()).toBeLessThanOrEqual(SPEAK_MS);
+    fleet.run(1_000);
+    expect(fleet.oldestMs()).toBeLessThanOrEqual(1_000);
+    fleet.run(2_000);
+    expect(fleet.oldestMs()).toBeLessThanOrEqual(SEND_INTERVAL_MS);
   });
 });
--- a/tests/gateway/reload.test.ts
+++ b/tests/gateway/reload.test.ts
@@ -49,7 +49,7 @@
     daemon = setUp();
   });
 
-  it('are taken once the file has changed', () => {
+  it('are applied once the file has changed', () => {
     save({ leavingMs: 3_000, seeds: null });
     daemon.reload();
     expect(daemon.tunables.value).toMatchObject({ leavingMs: 3_000, seeds: [] });
@@ -57,13 +57,13 @@
     expect(daemon.lines[0]).toContain('"fields":"leavingMs seeds"');
   });
 
-  it('are left alone while the file stays as it is', () => {
+  it('do not change while the file is unchanged', () => {
     daemon.reload();
     daemon.reload();
     expect(daemon.lines).toEqual([]);
   });
 
-  it('keep their values where the file has faults, each of which is named once', () => {
+  it('keep their values if the file has errors, each of which is logged once', () => {
     save({ leavingMs: -1, retryRatio: 'much' });
     daemon.reload();
     daemon.reload();
@@ -73,7 +73,7 @@
     expect(daemon.lines[0]).toContain('retryRatio');
   });
 
-  it('are taken after a fault has been mended', () => {
+  it('are applied after an error is corrected', () => {
     writeFileSync(path, '{ half a file');
     daemon.reload();
     save({ retrySlack: 7 });
@@ -81,7 +81,7 @@
     expect(daemon.tunables.value.retrySlack).toBe(7);
   });
 
-  it('wait for a restart where they cannot change', () => {
+  it('wait for a restart if they cannot change at runtime', () => {
     save({ listen: '127.0.0.1:9', leavingMs: 2_500 });
     daemon.reload();
     daemon.reload();
--- a/tests/gateway/server-backoff-daemons.test.ts
+++ b/tests/gateway/server-backoff-daemons.test.ts
@@ -9,10 +9,10 @@
 
 const FIRST_PORT = 25_300;
 const DAEMONS = 3;
-const REST_S = 3;
+const BACKOFF_S = 3;
 const ASKING_MS = 7_000;
 const SOON_MS = 500;
-/** Each daemon has met all of the servers by then. */
+/** By then each daemon has sent to all of the servers. */
 const KNOWN_MS = 1_000;
 
 let fixture: GatewayFixture;
@@ -29,72 +29,72 @@
   return [0, 1, 2].map((n) => brandAs<ServerName>(`plain-${n}`));
 }
 
-function retryAfterOf(asked: SentRequest | undefined): number {
-  return Number(asked?.reply?.headers['retry-after']);
+function retryAfterOf(sent: SentRequest | undefined): number {
+  return Number(sent?.reply?.headers['retry-after']);
 }
 
-/** The servers turn every request away and ask for rest, for as long as requests come. */
-async function askShedding(
+/** Sends requests while the servers refuse every one with a Retry-After. */
+async function sendWhileShedding(
   servers: readonly ServerName[],
   path: string,
   perS: number,
 ): Promise<readonly SentRequest[]> {
   const { says, shedding } = fixture.platform.statements;
   for (const server of servers) {
-    says.set(server, { 'Retry-After': String(REST_S) });
+    says.set(server, { 'Retry-After': String(BACKOFF_S) });
     shedding.add(server);
   }
-  const asked = await fixture.sendRequests(path, perS, ASKING_MS);
+  const sent = await fixture.sendRequests(path, perS, ASKING_MS);
   for (const server of servers) {
     says.delete(server);
     shedding.delete(server);
   }
-  return asked;
+  return sent;
 }
 
-/** By daemon: most requests that came to the server within the rest that an answer had asked for. */
-function mostInRests(server: ServerName, asked: readonly SentRequest[]): number[] {
-  const daemonOf = new Map(asked.map(({ requestId, daemon }) => [requestId, daemon]));
+/** For each daemon, the most requests that reached the server within one requested backoff. */
+function maxDuringBackoff(server: ServerName, sent: readonly SentRequest[]): number[] {
+  const daemonOf = new Map(sent.map(({ requestId, daemon }) => [requestId, daemon]));
   const arrivals = fixture.platform.statements.arrivals.filter((one) => one.server === server);
   return Array.from({ length: DAEMONS }, (_, daemon) => {
     const times = arrivals.flatMap(({ requestId, at }) =>
       daemonOf.get(requestId) === daemon ? [at] : [],
     );
-    return mostInRest(times, REST_S);
+    return mostInRest(times, BACKOFF_S);
   });
 }
 
-describe('a server that turns a daemon away and asks for rest', () => {
-  // Guards against a server's Retry-After that counts as one failure and reaches no further decision.
+describe('a server that refuses a daemon with a Retry-After', () => {
+  // Guards against a Retry-After that counts as one failure but does not affect later requests.
   it.each([
     { what: 'a server of a plain service', path: '/safe/x' },
     { what: 'the head of a group', path: '/stream/x' },
-  ])('gets it: $what', async ({ path }) => {
+  ])('gets its backoff: $what', async ({ path }) => {
     const isStream = path === '/stream/x';
     const servers = isStream ? fixture.heads(SMALL).slice(0, 1) : plainServers().slice(0, 2);
-    const asked = await askShedding(servers, path, 10);
+    const sent = await sendWhileShedding(servers, path, 10);
     for (const server of servers) {
-      const found = mostInRests(server, asked);
+      const found = maxDuringBackoff(server, sent);
       expect(Math.max(...found)).toBeLessThanOrEqual(MOST_IN_REST);
     }
     expect(
       fixture.platform.statements.arrivals.some(({ server }) => servers.includes(server)),
     ).toBe(true);
-    // The others have room for all, once it is known which they are.
-    const first = Math.min(...asked.map(({ sentAt }) => sentAt));
-    const later = asked.filter(({ sentAt }) => sentAt > first + KNOWN_MS);
+    // The other servers have capacity for all, once the daemons know which ones refuse.
+    const first = Math.min(...sent.map(({ sentAt }) => sentAt));
+    const later = sent.filter(({ sentAt }) => sentAt > first + KNOWN_MS);
     expect(later.filter(({ reply }) => reply?.status !== 200)).toEqual([]);
   });
 
-  // Guards against callers that are told to come back before any server wants to see them.
-  it('has callers told to come back no sooner, where all servers of the service rest', async () => {
+  // Guards against telling callers to return before any server accepts requests.
+  it('makes callers retry no sooner if all servers of the service are backing off', async () => {
     const servers = plainServers();
-    const asked = await askShedding(servers, '/unsafe/x', 5);
+    const sent = await sendWhileShedding(servers, '/unsafe/x', 5);
     for (const server of servers) {
-      expect(Math.max(...mostInRests(server, asked))).toBeLessThanOrEqual(MOST_IN_REST);
+      expect(Math.max(...maxDuringBackoff(server, sent))).toBeLessThanOrEqual(MOST_IN_REST);
     }
     const ran = new Set(fixture.platform.runs.map(({ requestId }) => requestId));
-    const untouched = asked.filter(
+    const untouched = sent.filter(
       ({ requestId }) =>
         !fixture.platform.statements.arrivals.some((one) => one.requestId === requestId),
     );
--- a/tests/gateway/server-notices.test.ts
+++ b/tests/gateway/server-notices.test.ts
@@ -20,62 +20,71 @@
   let ms = 0;
   const clock = { now: () => at(ms), epoch: () => brandAs<EpochTime>(ms) };
   const ctx = makeContext({ clock, settings: { id: brandAs<DaemonId>('d0') } });
-  const limits = makeRateLimits(ctx);
-  const left: InstanceId[] = [];
-  const leaving = { note: (server: InstanceId) => left.push(server) } as unknown as LeavingServers;
-  const allowances = createThrottle(ctx, limits);
-  const statements = createServerNotices(ctx, { dialect, limits, throttle: allowances, leaving });
+  const rateLimits = makeRateLimits(ctx);
+  const leftServers: InstanceId[] = [];
+  const leaving = {
+    note: (server: InstanceId) => leftServers.push(server),
+  } as unknown as LeavingServers;
+  const throttle = createThrottle(ctx, rateLimits);
+  const notices = createServerNotices(ctx, { dialect, limits: rateLimits, throttle, leaving });
   const read = (statusCode: number, headers: Record<string, string>): void => {
-    statements.read(SERVER, { statusCode, headers }, at(ms - 10));
+    notices.read(SERVER, { statusCode, headers }, at(ms - 10));
+  };
+  return {
+    statements: notices,
+    limits: rateLimits,
+    allowances: throttle,
+    left: leftServers,
+    read,
+    wait: (more: number) => (ms += more),
   };
-  return { statements, limits, allowances, left, read, wait: (more: number) => (ms += more) };
 }
 
-describe('what a server says of itself in an answer', () => {
-  it('reaches the decisions on later requests, whatever the answer was', () => {
-    const { read, limits, allowances, left, wait } = setUp();
+describe('notices of a server in an answer', () => {
+  it('apply to later requests, whatever the status of the answer', () => {
+    const { read, limits: rateLimits, allowances: throttle, left: leftServers, wait } = setUp();
     wait(100);
     read(500, { [HEADERS.limit]: '2' });
-    expect(limits.tokens(SERVER)).toBe(0);
+    expect(rateLimits.tokens(SERVER)).toBe(0);
     read(503, { 'retry-after': '3', [HEADERS.limit]: '2' });
-    expect(allowances.isBackingOff(SERVER)).toBe(true);
+    expect(throttle.isBackingOff(SERVER)).toBe(true);
     read(200, { [HEADERS.leaving]: '1', [HEADERS.limit]: '2' });
-    expect(left).toEqual([SERVER]);
+    expect(leftServers).toEqual([SERVER]);
   });
 
-  it('is no word of the server that was meant, where another one answered', () => {
-    const { read, limits, allowances, left } = setUp();
+  it('are not attributed to the intended server if another one answered', () => {
+    const { read, limits: rateLimits, allowances: throttle, left: leftServers } = setUp();
     read(421, { [HEADERS.limit]: '2', [HEADERS.leaving]: '1', 'retry-after': '3' });
-    expect(limits.tokens(SERVER)).toBe(Infinity);
-    expect(allowances.isBackingOff(SERVER)).toBe(false);
-    expect(left).toEqual([]);
+    expect(rateLimits.tokens(SERVER)).toBe(Infinity);
+    expect(throttle.isBackingOff(SERVER)).toBe(false);
+    expect(leftServers).toEqual([]);
   });
 
-  it('ends no limit where it can not be understood', () => {
-    const { read, limits, wait } = setUp();
+  it('do not end a limit if they are unreadable', () => {
+    const { read, limits: rateLimits, wait } = setUp();
     read(200, { [HEADERS.limit]: '2' });
     wait(5_000);
     read(200, { [HEADERS.limit]: 'many' });
-    expect(limits.tokens(SERVER)).not.toBe(Infinity);
+    expect(rateLimits.tokens(SERVER)).not.toBe(Infinity);
     read(200, {});
-    expect(limits.tokens(SERVER)).toBe(Infinity);
+    expect(rateLimits.tokens(SERVER)).toBe(Infinity);
   });
 
-  it('ends no limit by an answer to an order, which need not name it', () => {
-    const { statements, limits, wait } = setUp();
+  it('do not end a limit by an answer to an order, which need not name it', () => {
+    const { statements: notices, limits: rateLimits, wait } = setUp();
     const headOf = (headers: Record<string, string>): ServerHead => ({
       server: SERVER,
       facts: dialect.readAnswer(202, headers),
     });
-    statements.apply(headOf({ [HEADERS.limit]: '2' }));
-    expect(limits.tokens(SERVER)).toBe(0);
+    notices.apply(headOf({ [HEADERS.limit]: '2' }));
+    expect(rateLimits.tokens(SERVER)).toBe(0);
     wait(5_000);
-    statements.apply(headOf({}));
-    expect(limits.tokens(SERVER)).not.toBe(Infinity);
+    notices.apply(headOf({}));
+    expect(rateLimits.tokens(SERVER)).not.toBe(Infinity);
   });
 });
 
-describe('answers to orders and questions', () => {
+describe('answers to orders and report requests', () => {
   let server: Server | undefined;
 
   afterEach(() => {
@@ -83,8 +92,8 @@
     server?.close();
   });
 
-  // Guards against a leader that hears of a server's leaving from its callers' answers alone.
-  it('are read for what the server says of itself', async () => {
+  // Guards against a leader that learns of a leaving server only from answers to callers' requests.
+  it('are read for notices of the server', async () => {
     server = createServer((req, res) => {
       req.resume();
       res.writeHead(200, { [HEADERS.leaving]: '1', [HEADERS.limit]: '4' }).end('{}');
--- a/tests/gateway/server-registry.test.ts
+++ b/tests/gateway/server-registry.test.ts
@@ -19,15 +19,15 @@
 
 const ctx = makeContext({ tunables: { leavingMs: LEAVING_MS } });
 
-/** A collection that changes all the time, and notes when it is asked. */
-function createBusyFeed(askedAt: number[]): Feed<BackendServer> {
+/** A collection that changes with every poll; records when it is polled. */
+function createBusyFeed(polledAt: number[]): Feed<BackendServer> {
   let revision = 1;
   const changes = [{ key: 's1', value: makeServer('s1') }];
   return {
     name: 'servers',
     load: () => okAsync({ changes, position: position(revision) }),
     poll: () => {
-      askedAt.push(ctx.clock.now());
+      polledAt.push(ctx.clock.now());
       revision += 1;
       return okAsync({ changes, position: position(revision) });
     },
@@ -35,42 +35,42 @@
 }
 
 function leaderWith(progress: Partial<PeerProgress>): () => Pick<Leader, 'at' | 'progress'> {
-  const whole = {
+  const defaults = {
     ...{ configVersion: 1, serversAt: position(1), storeEra: FIRST_ERA },
     ...{ isStoreLost: false, storeAgeMs: 0 },
   };
-  return () => ({ at: ctx.clock.now(), progress: { ...whole, ...progress } });
+  return () => ({ at: ctx.clock.now(), progress: { ...defaults, ...progress } });
 }
 
 describe('a daemon that does not lead', () => {
-  const countLooks = async (leader: () => Pick<Leader, 'at' | 'progress'> | undefined) => {
-    const askedAt: number[] = [];
-    const feed = createBusyFeed(askedAt);
-    const roster = createServerRegistry(ctx, { feed, isLeading: () => false, leader });
+  const countPolls = async (leader: () => Pick<Leader, 'at' | 'progress'> | undefined) => {
+    const polledAt: number[] = [];
+    const feed = createBusyFeed(polledAt);
+    const serverRegistry = createServerRegistry(ctx, { feed, isLeading: () => false, leader });
     await new Promise((resolve) => setTimeout(resolve, LEAVING_MS * 8));
-    roster.watch.stop();
-    return askedAt.length;
+    serverRegistry.watch.stop();
+    return polledAt.length;
   };
 
-  it('looks at the servers itself inside the time that a leaving one allows, without a leader', async () => {
-    expect(await countLooks(() => undefined)).toBeGreaterThanOrEqual(4);
+  it('without a leader, polls within the time allowed for a leaving server', async () => {
+    expect(await countPolls(() => undefined)).toBeGreaterThanOrEqual(4);
   });
 
-  it('leaves it to a leader whose own view is young', async () => {
-    expect(await countLooks(leaderWith({ storeAgeMs: 10 }))).toBe(0);
+  it("does not poll while the leader's view is fresh", async () => {
+    expect(await countPolls(leaderWith({ storeAgeMs: 10 }))).toBe(0);
   });
 
   it.each([
-    { reason: 'that the store no longer answers', storeAgeMs: LEAVING_MS },
-    { reason: 'that says so', isStoreLost: true },
-    { reason: 'whose news did not arrive here', serversAt: position(1_000) },
-  ])('looks itself beside a leader $reason', async ({ reason, ...progress }) => {
-    expect(await countLooks(leaderWith(progress)), reason).toBeGreaterThanOrEqual(4);
+    { reason: 'that gets no answer from the store', storeAgeMs: LEAVING_MS },
+    { reason: 'that reports the store as lost', isStoreLost: true },
+    { reason: 'whose updates did not arrive here', serversAt: position(1_000) },
+  ])('polls itself with a leader $reason', async ({ reason, ...progress }) => {
+    expect(await countPolls(leaderWith(progress)), reason).toBeGreaterThanOrEqual(4);
   });
 });
 
 describe('a store that does not answer', () => {
-  it('is tried by one collection for all, until it answers', async () => {
+  it('is probed by one collection for all until it answers', async () => {
     const store = createStoreAccess();
     const own = { ...ctx, store };
     const calls = { first: 0, second: 0 };
@@ -99,15 +99,15 @@
   });
 });
 
-describe('a server that starts again under its name', () => {
-  const lifeOf = (startedAt: number): BackendServer => ({
+describe('a server that restarts under its name', () => {
+  const incarnationOf = (startedAt: number): BackendServer => ({
     ...makeServer('s1'),
     id: instance(`s1@${startedAt}`),
     startedAt: brandAs<EpochTime>(startedAt),
   });
 
-  /** A collection that gives one batch of changes after the other. */
-  const rosterOf = async (...batches: readonly (readonly Change<BackendServer>[])[]) => {
+  /** A collection that returns one batch of changes per call. */
+  const registryOf = async (...batches: readonly (readonly Change<BackendServer>[])[]) => {
     let revision = 0;
     const next = () => {
       const changes = batches[revision];
@@ -116,34 +116,44 @@
       return ResultAsync.fromSafePromise(new Promise<never>(() => undefined));
     };
     const feed: Feed<BackendServer> = { name: 'servers', load: next, poll: next };
-    const roster = createServerRegistry(ctx, {
+    const serverRegistry = createServerRegistry(ctx, {
       feed,
       isLeading: () => true,
       leader: () => undefined,
     });
     await pause(250);
-    roster.watch.stop();
-    return roster;
+    serverRegistry.watch.stop();
+    return serverRegistry;
   };
 
-  it('is another one, and the life before has ended', async () => {
-    const first = lifeOf(1);
-    const second = lifeOf(2);
-    const roster = await rosterOf([{ key: 's1', value: first }], [{ key: 's1', value: second }]);
-    expect([...roster.servers.keys()]).toEqual([second.id]);
-    expect([...roster.ended.keys()]).toEqual([first.id]);
-    expect(roster.lapsed.size).toBe(0);
+  it('is a new incarnation, and the previous one has ended', async () => {
+    const first = incarnationOf(1);
+    const second = incarnationOf(2);
+    const serverRegistry = await registryOf(
+      [{ key: 's1', value: first }],
+      [{ key: 's1', value: second }],
+    );
+    expect([...serverRegistry.servers.keys()]).toEqual([second.id]);
+    expect([...serverRegistry.ended.keys()]).toEqual([first.id]);
+    expect(serverRegistry.lapsed.size).toBe(0);
   });
 
-  it('stays so when an entry of the earlier life comes late', async () => {
-    const late = { key: 's1', value: lifeOf(1) };
-    const roster = await rosterOf([late], [{ key: 's1', value: lifeOf(2) }], [late]);
-    expect([...roster.servers.keys()]).toEqual([lifeOf(2).id]);
+  it('stays the new incarnation if an entry of the earlier one arrives late', async () => {
+    const late = { key: 's1', value: incarnationOf(1) };
+    const serverRegistry = await registryOf(
+      [late],
+      [{ key: 's1', value: incarnationOf(2) }],
+      [late],
+    );
+    expect([...serverRegistry.servers.keys()]).toEqual([incarnationOf(2).id]);
   });
 
-  it('is gone with the entry of its name', async () => {
-    const roster = await rosterOf([{ key: 's1', value: lifeOf(3) }], [{ key: 's1' }]);
-    expect(roster.servers.size).toBe(0);
-    expect([...roster.lapsed.keys()]).toEqual([lifeOf(3).id]);
+  it('is removed with the entry of its name', async () => {
+    const serverRegistry = await registryOf(
+      [{ key: 's1', value: incarnationOf(3) }],
+      [{ key: 's1' }],
+    );
+    expect(serverRegistry.servers.size).toBe(0);
+    expect([...serverRegistry.lapsed.keys()]).toEqual([incarnationOf(3).id]);
   });
 });
--- a/tests/gateway/silent-store.ts
+++ b/tests/gateway/silent-store.ts
@@ -1,4 +1,4 @@
-/** A store in the faked time of a test, whose calls are lost without an error while it is silent. */
+/** A store in fake time whose calls are lost without an error while it is silent. */
 
 import { errAsync, okAsync, ResultAsync } from 'neverthrow';
 
@@ -8,12 +8,15 @@
 import type { StepError } from '../../src/utils/errors';
 import { position } from './support';
 
-/** The way to the store and back. */
-const WAY_MS = 5;
-/** Without a word from the caller, the client of the store gives a call up this long after its wait. */
+/** Round trip to the store. */
+const ROUND_TRIP_MS = 5;
+/** Unless the caller aborts it, the store client abandons a call this long after its wait. */
 const CLIENT_SLACK_MS = 1_000;
 
-/** A store that falls silent: calls that are out then, and those sent meanwhile, are never answered. */
+/**
+ * A store that can fall silent: calls in progress at that time and calls sent during the silence
+ * are never answered.
+ */
 export function createSilentStore() {
   const values = new Map<string, { readonly value: unknown; readonly revision: number }>();
   const wakers = new Set<() => void>();
@@ -38,28 +41,28 @@
     calls += 1;
     const sentIn = era;
     const answer = new Promise<Changes<T> | undefined>((resolve) => {
-      const isHeard = (): boolean => !isSilent && sentIn === era;
+      const isReachable = (): boolean => !isSilent && sentIn === era;
       const finish = (): void => {
-        if (!isHeard()) return;
-        wakers.delete(look);
+        if (!isReachable()) return;
+        wakers.delete(checkForChanges);
         setTimeout(() => {
-          if (isHeard()) resolve(read<T>(name, after));
-        }, WAY_MS);
+          if (isReachable()) resolve(read<T>(name, after));
+        }, ROUND_TRIP_MS);
       };
-      const look = (): void => {
+      const checkForChanges = (): void => {
         if (read(name, after).changes.length > 0) finish();
       };
-      const giveUp = (): void => {
-        wakers.delete(look);
+      const endCall = (): void => {
+        wakers.delete(checkForChanges);
         resolve(undefined);
       };
-      if (isHeard()) {
-        wakers.add(look);
+      if (isReachable()) {
+        wakers.add(checkForChanges);
         setTimeout(finish, waitMs);
-        look();
+        checkForChanges();
       }
-      setTimeout(giveUp, waitMs + CLIENT_SLACK_MS);
-      signal?.addEventListener('abort', giveUp);
+      setTimeout(endCall, waitMs + CLIENT_SLACK_MS);
+      signal?.addEventListener('abort', endCall);
     });
     return ResultAsync.fromSafePromise(answer).andThen((changes) =>
       changes
@@ -69,7 +72,7 @@
   };
 
   return {
-    /** Calls so far, answered or not. */
+    /** Number of calls so far, answered or not. */
     calls: () => calls,
     put: (name: string, value: unknown): void => {
       revision += 1;
--- a/tests/gateway/slot-admission.test.ts
+++ b/tests/gateway/slot-admission.test.ts
@@ -36,47 +36,48 @@
 
 const GROUPS = [group('1', 6), group('2', 0)];
 const LOCAL = { waiting: 4, perSecond: 20 };
-/** Far more on the other daemons than there is room for. */
-const BURST = { local: LOCAL, remote: { waiting: 4, perSecond: 20 }, slackMs: 200 };
-/** Few that can be on time, and a backlog of late ones. */
+/** The other daemons have far more requests than there are free slots. */
+const OVERLOAD = { local: LOCAL, remote: { waiting: 4, perSecond: 20 }, slackMs: 200 };
+/** Few requests that can be on time, and a backlog of late ones. */
 const BACKLOG = {
   local: { waiting: 40, perSecond: 1 },
   remote: { waiting: 0, perSecond: 1 },
   slackMs: 200,
 };
 
-describe('the room that a daemon may use', () => {
+describe('the slots that a daemon may use', () => {
   const heads = (groups: readonly GroupCandidate[]) => groups.map(({ head }) => head);
 
-  it('is what it was granted, less what it took, and the places that its streams gave back', () => {
-    const { rooms } = setUp();
-    rooms.noteLoads(400);
-    const admit = () => heads(rooms.admit(SMALL, GROUPS, { ...BURST, isLate: false }).groups);
+  it('are those granted, minus those taken, plus those released by its streams', () => {
+    const { rooms: admission } = setUp();
+    admission.noteLoads(400);
+    const admit = () =>
+      heads(admission.admit(SMALL, GROUPS, { ...OVERLOAD, isLate: false }).groups);
     expect(admit()).toEqual(['1']);
-    expect(rooms.grantedSlots(instance('1'))).toBe(3);
-    for (let n = 0; n < 3; n++) rooms.noteSent(instance('1'));
+    expect(admission.grantedSlots(instance('1'))).toBe(3);
+    for (let n = 0; n < 3; n++) admission.noteSent(instance('1'));
     expect(admit()).toEqual([]);
-    rooms.noteSlotFreed(instance('2'));
+    admission.noteSlotFreed(instance('2'));
     expect(admit()).toEqual(['2']);
   });
 
-  it('is granted anew only once loads show what was sent since', () => {
-    const { rooms, pass } = setUp();
-    rooms.noteLoads(400);
-    rooms.admit(SMALL, GROUPS, { ...BURST, isLate: false });
-    rooms.noteSent(instance('1'));
-    pass(200);
-    rooms.noteLoads(400);
-    expect(rooms.grantedSlots(instance('1'))).toBe(2);
-    pass(200);
-    rooms.noteLoads(400);
-    expect(rooms.grantedSlots(instance('1'))).toBe(0);
+  it('are granted again only once the loads include what was sent since', () => {
+    const { rooms: admission, pass: advance } = setUp();
+    admission.noteLoads(400);
+    admission.admit(SMALL, GROUPS, { ...OVERLOAD, isLate: false });
+    admission.noteSent(instance('1'));
+    advance(200);
+    admission.noteLoads(400);
+    expect(admission.grantedSlots(instance('1'))).toBe(2);
+    advance(200);
+    admission.noteLoads(400);
+    expect(admission.grantedSlots(instance('1'))).toBe(0);
   });
 
-  it('is none for late requests while others can be on time, and some of what these leave', () => {
-    const { rooms } = setUp();
-    rooms.noteLoads(400);
-    expect(rooms.admit(SMALL, GROUPS, { ...BURST, isLate: true }).groups).toEqual([]);
+  it('are none for late requests while others can be on time, and part of what these leave', () => {
+    const { rooms: admission } = setUp();
+    admission.noteLoads(400);
+    expect(admission.admit(SMALL, GROUPS, { ...OVERLOAD, isLate: true }).groups).toEqual([]);
     const { rooms: other } = setUp();
     other.noteLoads(400);
     let sent = 0;
@@ -98,27 +99,27 @@
     waiting: [],
   });
 
-  it('are those last summed by a leader, while there is none', () => {
-    const { loads, pass } = setUp();
-    loads.apply(sums(12), { coversMost: true, isLeaderless: false });
-    pass(8_000);
-    expect(loads.apply(sums(1), { coversMost: false, isLeaderless: true })).toBe(false);
-    expect(loads.running(instance('1'))).toBe(12);
-    expect(loads.areFresh()).toBe(false);
+  it('stay those last summed by a leader while there is none', () => {
+    const { loads: peerLoads, pass: advance } = setUp();
+    peerLoads.apply(sums(12), { coversMost: true, isLeaderless: false });
+    advance(8_000);
+    expect(peerLoads.apply(sums(1), { coversMost: false, isLeaderless: true })).toBe(false);
+    expect(peerLoads.running(instance('1'))).toBe(12);
+    expect(peerLoads.areFresh()).toBe(false);
   });
 
-  it('are those of the peers that are heard, where no leader summed them for long', () => {
-    const { loads, pass } = setUp();
-    loads.apply(sums(12), { coversMost: true, isLeaderless: false });
-    pass(15_000);
-    expect(loads.apply(sums(1), { coversMost: false, isLeaderless: true })).toBe(true);
-    expect(loads.running(instance('1'))).toBe(1);
+  it('are those of the known peers if no leader summed them for long', () => {
+    const { loads: peerLoads, pass: advance } = setUp();
+    peerLoads.apply(sums(12), { coversMost: true, isLeaderless: false });
+    advance(15_000);
+    expect(peerLoads.apply(sums(1), { coversMost: false, isLeaderless: true })).toBe(true);
+    expect(peerLoads.running(instance('1'))).toBe(1);
   });
 
-  it('are what a leader tells, also of few daemons: the others are lost', () => {
-    const { loads } = setUp();
-    loads.apply(sums(12), { coversMost: true, isLeaderless: false });
-    loads.apply(sums(2), { coversMost: false, isLeaderless: false });
-    expect(loads.running(instance('1'))).toBe(2);
+  it("are those of the leader's sum even if it covers few daemons", () => {
+    const { loads: peerLoads } = setUp();
+    peerLoads.apply(sums(12), { coversMost: true, isLeaderless: false });
+    peerLoads.apply(sums(2), { coversMost: false, isLeaderless: false });
+    expect(peerLoads.running(instance('1'))).toBe(2);
   });
 });
--- a/tests/gateway/spoiled-bodies.test.ts
+++ b/tests/gateway/spoiled-bodies.test.ts
@@ -14,11 +14,11 @@
 import type { Json } from '../../src/ports/platform';
 import { makeServer } from './support';
 
-const SPOILED = ['', '{"active":', 'no JSON', '[]', '{"pace":"fast"}'];
+const MALFORMED = ['', '{"active":', 'no JSON', '[]', '{"pace":"fast"}'];
 
 let server: Server;
 
-/** Answers everything with 200 and `body`. */
+/** Answers every request with 200 and `body`. */
 async function startAnswering(body: string): Promise<string> {
   server = createServer((req, res) => {
     req.resume();
@@ -35,7 +35,7 @@
 
 const encode = (value: string): string => Buffer.from(value).toString('base64');
 
-const goodRow = {
+const validRow = {
   service: 'llm',
   address: '127.0.0.1:7000',
   zone: 'a',
@@ -48,18 +48,18 @@
   group: { name: 'g', epoch: 1, rank: 0, state: 'open' },
 };
 
-/** A good row with one field of it replaced by anything, or left out. */
-const spoiledRow = fc
-  .tuple(fc.constantFrom(...Object.keys(goodRow)), fc.option(fc.jsonValue(), { nil: undefined }))
-  .map(([field, value]) => JSON.stringify({ ...goodRow, [field]: value }));
+/** A valid row with one field replaced by an arbitrary value or removed. */
+const malformedRow = fc
+  .tuple(fc.constantFrom(...Object.keys(validRow)), fc.option(fc.jsonValue(), { nil: undefined }))
+  .map(([field, value]) => JSON.stringify({ ...validRow, [field]: value }));
 
-describe('rows of another writer', () => {
-  it('throw nothing and leave the others as they are, whatever they hold', async () => {
-    const anything = fc.oneof(fc.string(), fc.json(), spoiledRow);
+describe('rows from another writer', () => {
+  it('never throw or affect other rows, whatever they contain', async () => {
+    const anything = fc.oneof(fc.string(), fc.json(), malformedRow);
     await fc.assert(
       fc.asyncProperty(fc.array(anything, { maxLength: 6 }), async (values) => {
-        const spoiled = values.map((value, i) => ({ key: `z${i}`, value: encode(value) }));
-        const rows = [{ key: 'good', value: encode(JSON.stringify(goodRow)) }, ...spoiled];
+        const malformed = values.map((value, i) => ({ key: `z${i}`, value: encode(value) }));
+        const rows = [{ key: 'good', value: encode(JSON.stringify(validRow)) }, ...malformed];
         const body = JSON.stringify({
           rows: rows.map((row) => ({ ...row, rowVersion: 3 })),
           rowVersion: 4,
@@ -81,7 +81,7 @@
     );
   });
 
-  it('never hold for a configuration what they do not say', () => {
+  it('are never decoded as a configuration unless they contain one', () => {
     fc.assert(
       fc.property(fc.jsonValue(), (value) => {
         expect(decodeConfig('config', value as Json)).toBeUndefined();
@@ -92,7 +92,7 @@
 });
 
 describe('a report', () => {
-  it('of a later life says nothing of the one that was asked', async () => {
+  it('of a later incarnation is not accepted for the one that was asked', async () => {
     const address = await startAnswering('{"born":7}');
     const asked = { ...makeServer('s1', { address }), startedAt: brandAs<EpochTime>(5) };
     const report = await createServers().report(asked, 1_000);
@@ -102,14 +102,14 @@
   });
 });
 
-describe('an answer that makes no sense', () => {
-  it.each(SPOILED)('is an error where a server reports %j', async (body) => {
+describe('a malformed answer', () => {
+  it.each(MALFORMED)('is an error if a server reports %j', async (body) => {
     const address = await startAnswering(body);
     const report = await createServers().report(makeServer('s1', { address }), 1_000);
     expect(report._unsafeUnwrapErr().code).toBe('bad-answer');
   });
 
-  it.each(SPOILED)('is an error where the store sends %j', async (body) => {
+  it.each(MALFORMED)('is an error if the store sends %j', async (body) => {
     const address = await startAnswering(body);
     const store = createStore({
       address,
@@ -120,7 +120,7 @@
     expect(rows._unsafeUnwrapErr().code).toBe('bad-answer');
   });
 
-  it('is passed over, with a line in the log, where a single row is spoiled', async () => {
+  it('is skipped with a log line if it concerns a single row', async () => {
     const value = Buffer.from('{"whole":true}').toString('base64');
     const row = (key: string, of: string) => ({ key, value: of, rowVersion: 3 });
     const rows = [row('rows/a', 'e25vIEpTT04='), row('rows/b', value), row('other', value)];
--- a/tests/gateway/store-return.test.ts
+++ b/tests/gateway/store-return.test.ts
@@ -21,15 +21,15 @@
 fakeTime();
 
 const [FIRST, SECOND] = [brandAs<StoreEra>(1), brandAs<StoreEra>(2)];
-/** Daemons load anew spread over this time, and a little more for what follows. */
+/** Daemons spread their reloads over this time; the rest is for processing. */
 const LOADED_MS = 600;
 const MISSING_MS = 2_400;
 
-async function pass(ms: number): Promise<void> {
+async function advance(ms: number): Promise<void> {
   await vi.advanceTimersByTimeAsync(ms);
 }
 
-/** A store of one collection that tells its era in each answer, as the adapter does. */
+/** A store of one collection that reports its era with each answer, like the adapter. */
 function createEraStore<T>() {
   const access = createStoreAccess();
   let rows = new Map<string, { readonly value: T; readonly revision: number }>();
@@ -89,7 +89,7 @@
       rows.delete(key);
     },
     copy: () => ({ rows: new Map(rows), revision }),
-    /** Comes back from a copy, in the next era. */
+    /** Restores a copy, in the next era. */
     restore: (copy: { readonly rows: typeof rows; readonly revision: number }): void => {
       rows = new Map(copy.rows);
       ({ revision } = copy);
@@ -98,7 +98,7 @@
   };
 }
 
-describe('a collection that is followed, when the store comes back from an older copy', () => {
+describe('a watched collection, when the store is restored from an older copy', () => {
   const follow = () => {
     const store = createEraStore<number>();
     const ctx = makeContext({ clock: createFakeClock(), store: store.access });
@@ -112,37 +112,37 @@
     return { store, known, watch };
   };
 
-  it('is loaded anew also where the new era has passed the position that was known', async () => {
+  it('is reloaded even if the new era has passed the known position', async () => {
     const { store, known, watch } = follow();
     store.put('a', 1);
-    await pass(100);
+    await advance(100);
     const copy = store.copy();
     store.put('a', 2);
-    await pass(100);
+    await advance(100);
     store.restore(copy);
-    // Versions are given out again: the change below has a revision that was known before the return.
+    // Revisions are reused: the change below has one that was known before the restore.
     store.put('b', 7);
-    await pass(LOADED_MS);
+    await advance(LOADED_MS);
     expect(known.get('b')).toBe(7);
     expect(watch.position()).toEqual({ era: SECOND, revision: 2 });
     watch.stop();
   });
 
-  it('ends a poll that is out as soon as any call or peer tells of the new era', async () => {
+  it('aborts a poll in progress as soon as any call or peer reports the new era', async () => {
     const { store, known, watch } = follow();
     store.put('a', 1);
-    await pass(100);
+    await advance(100);
     const copy = store.copy();
     store.restore({ ...copy, rows: new Map([...copy.rows, ['c', { value: 9, revision: 1 }]]) });
     expect(store.loads()).toBe(1);
     store.access.noteEra(SECOND, 'peer');
-    await pass(LOADED_MS);
+    await advance(LOADED_MS);
     expect(store.loads()).toBe(2);
     expect(known.get('c')).toBe(9);
     watch.stop();
   });
 
-  it('is loaded at different moments by daemons that learn of it together', async () => {
+  it('is reloaded at different times by daemons that learn of it together', async () => {
     const loadedAt = new Set<number>();
     const stores = Array.from({ length: 20 }, (_, seed) => {
       const store = createEraStore<number>();
@@ -161,19 +161,19 @@
       };
     });
     for (const { store } of stores) store.put('a', 1);
-    await pass(100);
+    await advance(100);
     loadedAt.clear();
     for (const { store } of stores) {
       store.restore(store.copy());
       store.access.noteEra(SECOND, 'peer');
     }
-    await pass(LOADED_MS);
+    await advance(LOADED_MS);
     expect(loadedAt.size).toBeGreaterThan(8);
     for (const { watch } of stores) watch.stop();
   });
 });
 
-describe('backend servers, when the store comes back from an older copy', () => {
+describe('backend servers, when the store is restored from an older copy', () => {
   const NAME = 's1';
   const server = (reportNumber: number, more: Partial<BackendServer> = {}): BackendServer =>
     makeServer(NAME, { reportNumber, ...more });
@@ -185,25 +185,25 @@
       store: store.access,
       tunables: { leavingMs: 100 },
     });
-    const roster = createServerRegistry(ctx, {
+    const serverRegistry = createServerRegistry(ctx, {
       feed: store.feed,
       isLeading: () => true,
       leader: () => undefined,
     });
-    /** Also what happens by the clock alone. */
+    /** Runs the registry's timers as well. */
     const run = async (ms: number): Promise<void> => {
       for (let passed = 0; passed < ms; passed += 50) {
-        await pass(50);
-        roster.tick();
+        await advance(50);
+        serverRegistry.tick();
       }
     };
-    return { store, roster, run };
+    return { store, roster: serverRegistry, run };
   };
-  const known = (roster: ServerRegistry): BackendServer | undefined =>
-    [...roster.servers.values()][0];
+  const known = (serverRegistry: ServerRegistry): BackendServer | undefined =>
+    [...serverRegistry.servers.values()][0];
 
-  it('that were leaving are leaving still', async () => {
-    const { store, roster, run } = follow();
+  it('that were leaving are still leaving', async () => {
+    const { store, roster: serverRegistry, run } = follow();
     store.put(NAME, server(3));
     await run(100);
     const copy = store.copy();
@@ -212,53 +212,53 @@
     store.restore(copy);
     store.access.noteEra(SECOND, 'peer');
     await run(LOADED_MS);
-    expect(known(roster)?.isDraining).toBe(true);
+    expect(known(serverRegistry)?.isDraining).toBe(true);
     store.put(NAME, server(5, { isDraining: true }));
     await run(300);
-    expect(known(roster)?.isDraining).toBe(true);
-    roster.watch.stop();
+    expect(known(serverRegistry)?.isDraining).toBe(true);
+    serverRegistry.watch.stop();
   });
 
-  it('that are missing are kept until they have had the time to enter themselves again', async () => {
-    const { store, roster, run } = follow();
+  it('that are missing are kept until they have had time to register again', async () => {
+    const { store, roster: serverRegistry, run } = follow();
     const copy = store.copy();
     store.put(NAME, server(1));
     await run(100);
     store.restore(copy);
     store.access.noteEra(SECOND, 'peer');
     await run(LOADED_MS);
-    expect(known(roster)).toBeDefined();
+    expect(known(serverRegistry)).toBeDefined();
     await run(MISSING_MS);
-    expect(known(roster)).toBeUndefined();
-    roster.watch.stop();
+    expect(known(serverRegistry)).toBeUndefined();
+    serverRegistry.watch.stop();
   });
 
-  it('that had gone come back only with what they write themselves', async () => {
-    const { store, roster, run } = follow();
+  it('that were removed return only once they write again', async () => {
+    const { store, roster: serverRegistry, run } = follow();
     store.put(NAME, server(3));
     await run(100);
     const copy = store.copy();
     store.remove(NAME);
     store.put('other', makeServer('s2'));
-    roster.applyUpdates({
+    serverRegistry.applyUpdates({
       since: position(1, FIRST),
       upTo: position(3, FIRST),
       changes: [{ key: NAME }],
     });
-    expect([...roster.servers.values()].some(({ name }) => name === NAME)).toBe(false);
+    expect([...serverRegistry.servers.values()].some(({ name }) => name === NAME)).toBe(false);
     store.restore(copy);
     store.access.noteEra(SECOND, 'peer');
     await run(LOADED_MS);
-    expect([...roster.servers.values()].some(({ name }) => name === NAME)).toBe(false);
+    expect([...serverRegistry.servers.values()].some(({ name }) => name === NAME)).toBe(false);
     store.put(NAME, server(4));
     await run(300);
-    expect([...roster.servers.values()].some(({ name }) => name === NAME)).toBe(true);
-    roster.watch.stop();
+    expect([...serverRegistry.servers.values()].some(({ name }) => name === NAME)).toBe(true);
+    serverRegistry.watch.stop();
   });
 });
 
-describe('the configuration in force, when the store comes back from an older copy', () => {
-  it('stays, until the operator has written a newer one', async () => {
+describe('the configuration in force, when the store is restored from an older copy', () => {
+  it('stays until the operator writes a newer one', async () => {
     const store = createEraStore<ReturnType<typeof makeConfig>>();
     const ctx = makeContext({
       clock: createFakeClock(),
@@ -272,24 +272,24 @@
       daemons: () => 3,
       leader: () => undefined,
     });
-    await pass(500);
+    await advance(500);
     const copy = store.copy();
     store.put('config', version(8));
-    await pass(500);
+    await advance(500);
     expect(view.version()).toBe(8);
     store.restore(copy);
     store.access.noteEra(SECOND, 'peer');
-    await pass(LOADED_MS);
+    await advance(LOADED_MS);
     expect(view.version()).toBe(8);
     store.put('config', version(9));
-    await pass(LOADED_MS);
+    await advance(LOADED_MS);
     expect(view.version()).toBe(9);
     view.watch.stop();
   });
 });
 
-describe('news of servers from another era', () => {
-  it('are not gone on from: the same revision has another meaning there', () => {
+describe('server updates from another era', () => {
+  it('are not continued from: the same revision has another meaning there', () => {
     expect(canContinueFrom(position(9, FIRST), position(4, FIRST))).toBe(true);
     expect(canContinueFrom(position(9, FIRST), position(4, SECOND))).toBe(false);
     const earlier = {
--- a/tests/gateway/store-silence.test.ts
+++ b/tests/gateway/store-silence.test.ts
@@ -1,10 +1,11 @@
 /**
- * A new organisation was refused with 401, and a new route with 404, 2.55 s after the store had
- * acknowledged both. The store had been silent for eight seconds and was back before the operator's
- * change. All daemons had asked for news in the last second of the silence. A call that is sent into
- * silence is never answered, and the daemons waited 5 s for it: longer than a change may take. They had
- * asked at the same moment, so none could tell the others. Their logs showed it: the news came exactly
- * when the call was given up, on all daemons within 0.3 s, and with it everything that was missed.
+ * Guards against changes that take effect too late after a silence of the store. A new organisation
+ * was refused with 401 and a new route with 404, 2.55 s after the store had acknowledged both.
+ *
+ * The store had been silent for eight seconds and was back before the change. A call sent into the
+ * silence is never answered, and daemons waited 5 s for it, longer than a change may take. All
+ * daemons had polled in the last second of the silence, so none could inform the others: in their
+ * logs, the change arrived on all of them within 0.3 s, exactly when that call timed out.
  */
 
 import fc from 'fast-check';
@@ -27,7 +28,7 @@
 const configOf = (version: number): GatewayConfig =>
   makeConfig({ version: brandAs<ConfigVersion>(version) });
 
-/** What one daemon without peers follows in the store, as the gateway puts it together. */
+/** The store-backed parts of one daemon without peers, connected as in the gateway. */
 function followStore(seed: number) {
   const store = createSilentStore();
   const ctx = makeContext({
@@ -43,7 +44,7 @@
     daemons: () => 1,
     leader: () => undefined,
   });
-  const roster = createServerRegistry(ctx, {
+  const serverRegistry = createServerRegistry(ctx, {
     feed: store.feed<BackendServer>('s1'),
     isLeading: () => false,
     leader: () => undefined,
@@ -56,44 +57,50 @@
     apply: () => undefined,
   });
   const stop = (): void => {
-    for (const watch of [config.watch, roster.watch, daemons]) watch.stop();
+    for (const watch of [config.watch, serverRegistry.watch, daemons]) watch.stop();
   };
-  return { store, config, roster, stop };
+  return { store, config, roster: serverRegistry, stop };
 }
 
 fakeTime();
 
-/** From a silence of the connections alone, over which new ones work, to one of twelve seconds. */
+/** From 0 ms, where only existing connections are lost and new ones work, to twelve seconds. */
 const SILENCES = Array.from({ length: 49 }, (_, n) => n * 250);
 
 describe('a store that was silent', () => {
-  it.each(SILENCES)('for %i ms has its next change in force in time', async (silentMs) => {
-    const { store, config, roster, stop } = followStore(silentMs);
-    await vi.advanceTimersByTimeAsync(8_000);
-    store.put('config', configOf(2));
-    await vi.advanceTimersByTimeAsync(500);
-    expect(config.version()).toBe(2);
+  it.each(SILENCES)(
+    'for %i ms does not delay its next change beyond the limit',
+    async (silentMs) => {
+      const { store, config, roster: serverRegistry, stop } = followStore(silentMs);
+      await vi.advanceTimersByTimeAsync(8_000);
+      store.put('config', configOf(2));
+      await vi.advanceTimersByTimeAsync(500);
+      expect(config.version()).toBe(2);
 
-    store.silence();
-    await vi.advanceTimersByTimeAsync(silentMs);
-    store.answer();
-    store.put('config', configOf(3));
-    store.put('s1', makeServer('s1', { isDraining: true }));
-    await vi.advanceTimersByTimeAsync(SETTLE_MS);
-    const seen = {
-      version: config.version(),
-      isDraining: roster.servers.get(instance('s1'))?.isDraining,
-    };
-    stop();
-    expect(seen).toEqual({ version: 3, isDraining: true });
-  });
+      store.silence();
+      await vi.advanceTimersByTimeAsync(silentMs);
+      store.answer();
+      store.put('config', configOf(3));
+      store.put('s1', makeServer('s1', { isDraining: true }));
+      await vi.advanceTimersByTimeAsync(SETTLE_MS);
+      const seen = {
+        version: config.version(),
+        isDraining: serverRegistry.servers.get(instance('s1'))?.isDraining,
+      };
+      stop();
+      expect(seen).toEqual({ version: 3, isDraining: true });
+    },
+  );
 });
 
-describe('a store that is silent again and again', () => {
+describe('a store that is silent repeatedly', () => {
   const STEP_MS = 250;
   const RUNS = 60;
 
-  /** Calm, a change at its end or none, then a silence; of 0 ms for one of the connections alone. */
+  /**
+   * Rounds of calm, a change at some point or none, then a silence; 0 ms loses existing connections
+   * only.
+   */
   const rounds = fc.array(
     fc.record({
       calmSteps: fc.integer({ min: 0, max: 24 }),
@@ -103,7 +110,7 @@
     { minLength: 1, maxLength: 6 },
   );
 
-  it('never hides a change for longer than is promised', async () => {
+  it('never hides a change for longer than guaranteed', async () => {
     const property = fc.asyncProperty(rounds, fc.nat(), async (plan, seed) => {
       const { store, config, stop } = followStore(seed);
       let newest = 1;
@@ -115,7 +122,7 @@
         store.put('config', configOf(newest));
       };
       const late: string[] = [];
-      const pass = async (steps: number, isSilent: boolean): Promise<void> => {
+      const advance = async (steps: number, isSilent: boolean): Promise<void> => {
         for (let step = 0; step < steps; step++) {
           await vi.advanceTimersByTimeAsync(STEP_MS);
           if (isSilent) disturbedAt = Date.now();
@@ -126,19 +133,19 @@
           );
         }
       };
-      await pass(20, false);
+      await advance(20, false);
       for (const { calmSteps, silentSteps, changes } of plan) {
-        await pass(calmSteps, false);
+        await advance(calmSteps, false);
         if (changes === 'before') change();
         store.silence();
         disturbedAt = Date.now();
-        await pass(Math.floor(silentSteps / 2), true);
+        await advance(Math.floor(silentSteps / 2), true);
         if (changes === 'during') change();
-        await pass(Math.ceil(silentSteps / 2), true);
+        await advance(Math.ceil(silentSteps / 2), true);
         store.answer();
         if (changes === 'after') change();
       }
-      await pass(24, false);
+      await advance(24, false);
       stop();
       expect(late).toEqual([]);
     });
--- a/tests/gateway/support.ts
+++ b/tests/gateway/support.ts
@@ -1,4 +1,4 @@
-/** Small makers of what gateway tests need again and again. */
+/** Factories for objects that gateway tests commonly need. */
 
 import { BehaviorSubject } from 'rxjs';
 
@@ -41,7 +41,7 @@
   return brandAs<MonoTime>(ms);
 }
 
-/** A point in the history of a store, of the first era where none is given. */
+/** A position in the history of a store, in the first era by default. */
 export function position(revision: number, era: StoreEra = FIRST_ERA): StorePosition {
   return { era, revision };
 }
@@ -50,7 +50,7 @@
   return brandAs<InstanceId>(id);
 }
 
-/** Engines like those of the users: a large model of six servers and a small one of three. */
+/** Engines similar to the users': a large model on six servers and a small one on three. */
 export const ENGINE: EngineSpec = {
   batchSize: 18,
   stepsPerPass: 6,
@@ -127,7 +127,7 @@
   };
 }
 
-/** What a daemon tells its peers. */
+/** A daemon's state message to its peers. */
 export function makeState(more: Partial<PeerState> = {}): PeerState {
   return {
     kind: 'state',
@@ -151,7 +151,7 @@
   };
 }
 
-/** The row of a leader's lease, as it tells it. */
+/** Lease row as published by a leader. */
 export const LEASE: NonNullable<PeerState['lease']> = {
   era: FIRST_ERA,
   version: 1,
@@ -165,7 +165,7 @@
   fenceVersion: 1,
 };
 
-/** What the leader of a large fleet tells all. */
+/** The load message that the leader of a large fleet publishes. */
 export function makeLoads(more: Partial<LoadsMessage> = {}): LoadsMessage {
   return {
     kind: 'loads',
@@ -187,18 +187,18 @@
   };
 }
 
-/** Limits of a daemon that shares them with nobody. */
+/** Rate limits of a daemon that shares them with no other. */
 export function makeRateLimits(ctx: GatewayContext): RateLimits {
   const daemons = () => [ctx.settings.id];
   return createRateLimits(ctx, { daemons, isRemoved: () => false, publish: () => undefined });
 }
 
-/** Allowances of a daemon to which no server has said anything. */
+/** Throttle of a daemon to which no server has set a limit. */
 export function makeThrottle(ctx: GatewayContext): Throttle {
   return createThrottle(ctx, makeRateLimits(ctx));
 }
 
-/** What simulated fleets have in common. */
+/** Parameters shared by simulated fleets. */
 export const FLEET = { engine: ENGINE, service: SERVICE };
 
 export interface ContextOptions extends Partial<
@@ -209,7 +209,7 @@
   readonly seed?: number;
 }
 
-/** What parts of a daemon use, with the settings that a test needs and no others. */
+/** A context with only the settings that a test needs. */
 export function makeContext({
   settings = {},
   tunables = {},
--- a/tests/gateway/upstream-unframed.test.ts
+++ b/tests/gateway/upstream-unframed.test.ts
@@ -11,7 +11,7 @@
   for (const close of closers.splice(0)) close();
 });
 
-/** A server that answers each connection's first bytes by `answer`. */
+/** A server that handles the first bytes of each connection with `answer`. */
 function serve(answer: (socket: Socket) => void): Promise<string> {
   const server = createServer((socket) => {
     socket.on('error', () => undefined);
@@ -38,8 +38,10 @@
   server.listen(0, '127.0.0.1', () => console.log(server.address().port));
 `;
 
-/** A server in a process of its own, since this one's loop must stand still while it answers. */
-function serveElsewhere(): Promise<string> {
+/**
+ * Runs a server in a child process, because this process's event loop is blocked while it answers.
+ */
+function serveInChildProcess(): Promise<string> {
   const child = spawn(process.execPath, ['-e', PROGRAM], { stdio: ['ignore', 'pipe', 'inherit'] });
   closers.push(() => child.kill());
   return new Promise((resolve) => {
@@ -49,12 +51,12 @@
   });
 }
 
-/** Holds up the event loop until the rest of the answer and the reset have surely come. */
-function blockFor(): void {
+/** Blocks the event loop until the rest of the answer and the reset have arrived. */
+function blockEventLoop(): void {
   Atomics.wait(new Int32Array(new SharedArrayBuffer(4)), 0, 0, 300);
 }
 
-async function fetchWhole(
+async function fetchBody(
   address: string,
   onHead: () => void = () => undefined,
 ): Promise<{ text: string; isWhole: boolean }> {
@@ -86,22 +88,22 @@
 const HEAD = 'HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n';
 
 describe('an answer without a length', () => {
-  it('is whole when the server closes its connection', async () => {
+  it('is complete when the server closes its connection', async () => {
     const address = await serve((socket) => socket.end(`${HEAD}all of it`));
-    expect(await fetchWhole(address)).toEqual({ text: 'all of it', isWhole: true });
+    expect(await fetchBody(address)).toEqual({ text: 'all of it', isWhole: true });
   });
 
-  it('is not whole when its last bytes and the reset are found at the same moment', async () => {
-    const address = await serveElsewhere();
-    expect((await fetchWhole(address, blockFor)).isWhole).toBe(false);
+  it('is incomplete when its last bytes and the reset are read at the same moment', async () => {
+    const address = await serveInChildProcess();
+    expect((await fetchBody(address, blockEventLoop)).isWhole).toBe(false);
   });
 
-  it('is not whole when its connection is reset', async () => {
+  it('is incomplete when its connection is reset', async () => {
     const address = await serve((socket) => {
       socket.write(`${HEAD}a part`, () => {
         setTimeout(() => socket.resetAndDestroy(), 20);
       });
     });
-    expect((await fetchWhole(address)).isWhole).toBe(false);
+    expect((await fetchBody(address)).isWhole).toBe(false);
   });
 });
--- a/tests/gateway/whole-path.test.ts
+++ b/tests/gateway/whole-path.test.ts
@@ -75,13 +75,16 @@
 
 const SET_UP_MS = 55_000;
 
-/** Two groups of each model; says what there is instead where a daemon ends or the time runs out. */
+/**
+ * Waits for two groups of each model; throws with the actual state if a daemon exits or time runs
+ * out.
+ */
 async function awaitGroups(): Promise<void> {
-  const giveUpAt = performance.now() + SET_UP_MS;
+  const deadline = performance.now() + SET_UP_MS;
   const isServing = (): boolean =>
     platform.fleet.serving(SMALL) === 2 && platform.fleet.serving(LARGE) === 2;
   const hasEnded = (): boolean => daemons.some(({ process: child }) => child.exitCode !== null);
-  await until(() => isServing() || hasEnded() || performance.now() > giveUpAt);
+  await until(() => isServing() || hasEnded() || performance.now() > deadline);
   if (isServing()) return;
   const groups = [...platform.fleet.servers.values()].map(({ id, joined }) => [
     id,
@@ -118,7 +121,7 @@
   rmSync(dir, { recursive: true });
 });
 
-function front(n: number): string {
+function addressOf(n: number): string {
   return daemons[n % DAEMONS]?.front ?? '';
 }
 
@@ -127,7 +130,7 @@
 }
 
 describe('daemons as processes on the platform', () => {
-  it('pass a stream on whole, with the organisation and without the key', async () => {
+  it('forward a complete stream, with the organisation and without the key', async () => {
     const replies = await Promise.all(
       daemons.map(({ front: address }, n) =>
         send(address, '/stream/x', { body: `events=5&n=${n}` }),
@@ -142,46 +145,48 @@
     }
   });
 
-  it('refuse an unknown key, an unknown route and a body that is too long', async () => {
+  it('refuse an unknown key, an unknown route and an oversized body', async () => {
     const unknown = { Authorization: 'Bearer nobody' };
-    expect((await send(front(0), '/safe/x', { headers: unknown })).status).toBe(401);
-    expect((await send(front(0), '/none/x')).status).toBe(404);
-    expect((await send(front(0), '/safe/x', { body: 'x'.repeat(200_000) })).status).toBe(413);
+    expect((await send(addressOf(0), '/safe/x', { headers: unknown })).status).toBe(401);
+    expect((await send(addressOf(0), '/none/x')).status).toBe(404);
+    expect((await send(addressOf(0), '/safe/x', { body: 'x'.repeat(200_000) })).status).toBe(413);
   });
 
-  it('tell a caller whose model no group serves when to come back', async () => {
-    const reply = await send(front(0), '/stream/x', { headers: { [HEADERS.model]: 'unserved' } });
+  it('send Retry-After to a caller whose model no group serves', async () => {
+    const reply = await send(addressOf(0), '/stream/x', {
+      headers: { [HEADERS.model]: 'unserved' },
+    });
     expect(reply.status).toBe(503);
     expect(Number(reply.headers['retry-after'])).toBeGreaterThanOrEqual(1);
   });
 
-  it('send a safe call again where its server fails or breaks off, and an unsafe one never', async () => {
+  it('retry a safe call if its server fails or disconnects, and never an unsafe one', async () => {
     platform.plainFaults.cutAnswers = 1;
-    expect(await send(front(1), '/safe/x', { body: 'cut' })).toMatchObject({ status: 200 });
+    expect(await send(addressOf(1), '/safe/x', { body: 'cut' })).toMatchObject({ status: 200 });
     expect(runsOf('cut')).toBe(2);
     platform.plainFaults.failAnswers = 1;
-    expect(await send(front(1), '/safe/x', { body: 'failed' })).toMatchObject({ status: 200 });
+    expect(await send(addressOf(1), '/safe/x', { body: 'failed' })).toMatchObject({ status: 200 });
     platform.plainFaults.cutAnswers = 1;
-    expect((await send(front(1), '/unsafe/x', { body: 'once' })).status).toBe(502);
+    expect((await send(addressOf(1), '/unsafe/x', { body: 'once' })).status).toBe(502);
     expect(runsOf('once')).toBe(1);
     platform.plainFaults.failAnswers = 1;
-    expect((await send(front(1), '/unsafe/x', { body: 'own failure' })).status).toBe(500);
+    expect((await send(addressOf(1), '/unsafe/x', { body: 'own failure' })).status).toBe(500);
   });
 
-  it('promise that an unsafe call has not run where the server says so', async () => {
+  it('guarantee that an unsafe call was not executed if the server says so', async () => {
     platform.plainFaults.refuse = 1;
-    const reply = await send(front(2), '/unsafe/x', { body: 'refused' });
+    const reply = await send(addressOf(2), '/unsafe/x', { body: 'refused' });
     expect(reply.status).toBe(503);
     expect(Number(reply.headers['retry-after'])).toBeGreaterThan(0);
     expect(runsOf('refused')).toBe(0);
   });
 
   it('resume a stream within its answer when a member of its group is lost', async () => {
-    const reply = send(front(0), '/stream/x', { body: 'events=60&n=resumed' });
+    const reply = send(addressOf(0), '/stream/x', { body: 'events=60&n=resumed' });
     await until(() => runsOf('events=60&n=resumed') === 1);
     const head = platform.runs.find((run) => run.body === 'events=60&n=resumed')?.server;
     const member = head && platform.fleet.named(head)?.joined?.members[1];
-    if (member === undefined) throw new Error('the stream runs in no group');
+    if (member === undefined) throw new Error('the stream is not running in any group');
     platform.fleet.kill(member);
     const { status, text, isWhole } = await reply;
     expect({ status, isWhole }).toEqual({ status: 200, isWhole: true });
@@ -191,12 +196,12 @@
     expect(platform.fleet.violations).toEqual([]);
   });
 
-  it('resume a stream when a member of its group starts again under its name', async () => {
-    const reply = send(front(1), '/stream/x', { body: 'events=60&n=restarted' });
+  it('resume a stream when a member of its group restarts under its name', async () => {
+    const reply = send(addressOf(1), '/stream/x', { body: 'events=60&n=restarted' });
     await until(() => runsOf('events=60&n=restarted') === 1);
     const head = platform.runs.find((run) => run.body === 'events=60&n=restarted')?.server;
     const member = head && platform.fleet.named(head)?.joined?.members[1];
-    if (member === undefined) throw new Error('the stream runs in no group');
+    if (member === undefined) throw new Error('the stream is not running in any group');
     platform.fleet.restart(member);
     const { status, text, isWhole } = await reply;
     expect({ status, isWhole }).toEqual({ status: 200, isWhole: true });
@@ -205,7 +210,7 @@
     expect(platform.fleet.violations).toEqual([]);
   });
 
-  it('serve on beside entries of another writer that make no sense', async () => {
+  it('keep serving with malformed entries from another writer', async () => {
     const good = { service: 'ledger', address: '127.0.0.1:9', zone: 'zone-a', batchSize: 6 };
     platform.store.put('servers', 'stranger-1', { ...good, state: 'retired' });
     platform.store.put('servers', 'stranger-2', { ...good, state: 'ready', address: 7 });
@@ -213,11 +218,11 @@
     platform.store.put('servers', 'stranger-4', []);
     await new Promise((resolve) => setTimeout(resolve, 300));
     for (let i = 0; i < 12; i++) {
-      expect((await send(front(i % 3), '/safe/x', { body: `beside-${i}` })).status).toBe(200);
+      expect((await send(addressOf(i % 3), '/safe/x', { body: `beside-${i}` })).status).toBe(200);
     }
   });
 
-  it('have a new version in force on all of them, and still have it after a kill', async () => {
+  it('have a new version in force on all daemons, also after a kill', async () => {
     platform.configure(
       documentOf(2, [...USUAL_ROUTES, describeRoute('added', 'safe', PLAIN_SERVICE)]),
     );
@@ -230,28 +235,28 @@
     if (killed) killed.process = launch(1);
     const statuses = new Set<number>();
     await until(async () => {
-      const status = await send(front(1), '/added/x').then(
+      const status = await send(addressOf(1), '/added/x').then(
         (reply) => reply.status,
         () => 0,
       );
       statuses.add(status);
       return status === 200;
     });
-    // Until a peer has told it, the new process says that it does not know.
+    // Until a peer has sent the configuration, the new process answers that it has none.
     for (const status of statuses) expect([0, 200, 503]).toContain(status);
     platform.store.faults.isDown = false;
   });
 
-  it('learn the servers from peers when they start while the store answers nobody', async () => {
+  it('learn the servers from peers when they start while the store is down', async () => {
     platform.store.faults.isDown = true;
-    // Ends the polls that still wait, so that every daemon finds the store lost.
+    // Ends the polls in progress, so that every daemon notices that the store is down.
     platform.store.put('servers', 'stranger-5', []);
     await new Promise((resolve) => setTimeout(resolve, 300));
     const killed = daemons[0];
     killed?.process.kill('SIGKILL');
     if (killed) killed.process = launch(0);
     await until(async () => {
-      const status = await send(front(0), '/safe/x').then(
+      const status = await send(addressOf(0), '/safe/x').then(
         (reply) => reply.status,
         () => 0,
       );
@@ -260,9 +265,9 @@
     platform.store.faults.isDown = false;
   });
 
-  it('deny nothing for good while the store has not confirmed their configuration for long', async () => {
-    const ask = async (): Promise<Reply> => send(front(1), '/none/x');
-    // The store was away until now: it has to confirm the configuration first.
+  it('send no final denial while their configuration has not been confirmed recently', async () => {
+    const ask = async (): Promise<Reply> => send(addressOf(1), '/none/x');
+    // The store was down until now, so it must confirm the configuration first.
     await until(async () => (await ask()).status === 404);
     platform.store.faults.isSilent = true;
     let reply = await ask();
@@ -276,7 +281,7 @@
     await until(async () => (await ask()).status === 404);
   });
 
-  it('load everything anew once the history of the store is gone', async () => {
+  it("reload everything once the store's history is no longer available", async () => {
     platform.store.compact();
     platform.configure(
       documentOf(3, [...USUAL_ROUTES, describeRoute('later', 'safe', PLAIN_SERVICE)]),
@@ -286,26 +291,26 @@
     }
   });
 
-  it('serve on when the store comes back from an older copy, and are led under a new fencing number', async () => {
+  it('keep serving when the store is restored from an older copy, under a new fencing number', async () => {
     platform.configure(
       documentOf(4, [...USUAL_ROUTES, describeRoute('newest', 'safe', PLAIN_SERVICE)]),
     );
     for (const { front: address } of daemons) {
       await until(async () => (await send(address, '/newest/x')).status === 200);
     }
-    /** Of the lease in the store's present era; 0 before anybody has taken it. */
+    /** Fencing number of the lease in the store's current era; 0 before it was first acquired. */
     const fencing = (): number => {
       const key = leaseKeys(LEASE, era(platform.store.era())).lease;
       const row = platform.store.get(TABLES.state, key);
       return row === undefined ? 0 : leaseSchema.parse(row).fencing;
     };
     const before = fencing();
-    const stream = send(front(0), '/stream/x', { body: 'events=120&n=return' });
+    const stream = send(addressOf(0), '/stream/x', { body: 'events=120&n=return' });
     const returned = platform.returnStore({ awayMs: 300, copyAgeMs: 2_500 });
     const statuses = new Set<number>();
     const endAt = performance.now() + 3_000;
     for (let n = 0; performance.now() < endAt; n++) {
-      statuses.add((await send(front(n), '/newest/x')).status);
+      statuses.add((await send(addressOf(n), '/newest/x')).status);
     }
     await returned;
     expect([...statuses]).toEqual([200]);
@@ -318,11 +323,11 @@
     for (const { front: address } of daemons) {
       await until(async () => (await send(address, '/last/x')).status === 200);
     }
-    await until(async () => (await send(front(0), '/stream/x', { body: 'events=3' })).isWhole);
+    await until(async () => (await send(addressOf(0), '/stream/x', { body: 'events=3' })).isWhole);
   });
 
-  it('stop without cutting a stream, and are unready meanwhile', async () => {
-    const stream = send(front(2), '/stream/x', { body: 'events=100&n=stopping' });
+  it('stop without aborting a stream, and are not ready meanwhile', async () => {
+    const stream = send(addressOf(2), '/stream/x', { body: 'events=100&n=stopping' });
     await until(() => runsOf('events=100&n=stopping') === 1);
     const stopped = daemons[2];
     const exited = new Promise<number | null>((resolve) => {
@@ -337,16 +342,17 @@
   });
 
   /**
-   * A caller's request was cut at the end of a stop, though it had come seconds after the stop began: a
-   * stream that was under way when the stop began had ended, and its connection was kept for the next call.
+   * Guards against aborting requests that arrive during a shutdown. A stream was in progress when
+   * the shutdown began; its connection was kept alive afterwards, and the caller's next request on
+   * it, seconds later, was aborted at the end.
    */
-  it('keep no connection for further calls once a stop has begun, however long its answer took', async () => {
+  it('close connections after their answer once a shutdown has begun, however long it took', async () => {
     const agent = new Agent({ keepAlive: true, maxSockets: 1 });
     const order: string[] = [];
-    const long = send(front(1), '/stream/x', { body: 'events=280&n=long' }).then(() =>
+    const long = send(addressOf(1), '/stream/x', { body: 'events=280&n=long' }).then(() =>
       order.push('long stream ended'),
     );
-    const short = send(front(1), '/stream/x', { body: 'events=150&n=short', agent });
+    const short = send(addressOf(1), '/stream/x', { body: 'events=150&n=short', agent });
     await until(() => runsOf('events=150&n=short') === 1 && runsOf('events=280&n=long') === 1);
     const [kept] = Object.values(agent.sockets).flatMap((sockets) => sockets ?? []);
     kept?.once('close', () => order.push('connection of the short stream closed'));
