--- a/src/cli/command.ts
+++ b/src/cli/command.ts
@@ -1,46 +1,50 @@
-/** What a subcommand is given and what it comes to. */
+/** Context, result and exit codes of a subcommand. */
 
 import type { DaemonSettings, RunningDaemon } from '../app/settings';
 import type { Environment, Flags } from './settings';
 
-/** Starts a daemon inside this process. */
+/** Starts a daemon in this process. */
 export type StartDaemon = (settings: DaemonSettings) => Promise<RunningDaemon>;
 
 /** Exit codes of the program. */
 export const EXIT = {
   done: 0,
-  /** Refused: nothing was changed. */
+  /** Rejected: nothing was changed. */
   refused: 1,
-  /** Flags, variables or arguments are wrong: nothing was tried. */
+  /** Flags, variables or arguments are invalid: nothing was sent or started. */
   usage: 2,
-  /** No one can tell whether the change took effect. */
+  /** Whether the change took effect is unknown. */
   unknown: 3,
 } as const;
 
 export type ExitCode = (typeof EXIT)[keyof typeof EXIT];
 
+/** What a subcommand runs with. */
 export interface CommandContext {
-  /** Arguments without a flag, in order. */
+  /** Positional arguments. */
   readonly args: readonly string[];
   readonly flags: Flags;
   readonly env: Environment;
   readonly startDaemon: StartDaemon;
 }
 
-/** A line of an error's explanation, for instance a wrong field. */
+/** An error as it is printed, or returned by the administration API. */
 export interface CommandError {
   readonly code: string;
   readonly message: string;
+  /** Where it failed, as `config-read`. */
   readonly step?: string;
   readonly peer?: string;
+  /** Invalid fields of a document, or invalid settings. */
   readonly fields?: readonly { readonly path: string; readonly message: string }[];
 }
 
+/** What a subcommand prints, and the exit code. */
 export interface CommandResult {
   readonly exit: ExitCode;
   /** What `--output json` prints. */
   readonly value?: unknown;
-  /** What is printed otherwise. */
+  /** What is printed as text output. */
   readonly text?: string;
   readonly error?: CommandError;
 }
@@ -59,7 +63,7 @@
   return { exit: EXIT.usage, error: { code: 'usage', message } };
 }
 
-/** The text of a flag; undefined where it was not given. */
+/** The value of a flag; undefined where it is absent or empty. */
 export function flagOf({ flags }: CommandContext, name: string): string | undefined {
   const value = flags[name];
   return typeof value === 'string' && value !== '' ? value : undefined;
--- a/src/cli/commands/documents.ts
+++ b/src/cli/commands/documents.ts
@@ -1,4 +1,4 @@
-/** `apply`, `get`, `diff` and `check`: configuration documents. */
+/** `apply`, `get`, `diff` and `check`: subcommands for configuration documents. */
 
 import { readFile } from 'node:fs/promises';
 import { err, ok } from 'neverthrow';
@@ -14,34 +14,35 @@
 import type { Command, CommandContext, CommandResult } from '../command';
 import { diffPaths, renderDifference } from '../diff';
 
-/** A configuration as the API answers it. */
-interface Found {
+/** Response body of `GET /admin/v1/config`. */
+interface ConfigBody {
   readonly version: number;
   readonly document: Json;
 }
 
 async function readFileDocument(ctx: CommandContext): Promise<Result<Json, CommandResult>> {
   const [file] = ctx.args;
-  if (file === undefined) return err(usage('name a file'));
+  if (file === undefined) return err(usage('the configuration file is missing'));
   const text = await readFile(file, 'utf8').catch(() => undefined);
   if (text === undefined) return err(usage(`cannot read ${file}`));
   return parseDocument(text).mapErr(({ code, message, step }) => refused({ code, message, step }));
 }
 
-/** The version in force; 0 before any was accepted. */
+/** The version in force; 0 before the first configuration. */
 async function currentVersion(target: AdminTarget): Promise<number | CommandResult> {
   const reply = await callAdmin(target, { method: 'GET', path: 'config' });
   if (reply.kind === 'answer' && reply.status === 404) return 0;
-  return failureOf(reply) ?? (reply as { body: Found }).body.version;
+  return failureOf(reply) ?? (reply as { body: ConfigBody }).body.version;
 }
 
-async function chooseVersion(
+/** The version that the change replaces: of `--if-version`, else the one in force. */
+async function expectedVersion(
   ctx: CommandContext,
   target: AdminTarget,
 ): Promise<number | CommandResult> {
-  const given = flagOf(ctx, 'if-version');
-  if (given === undefined) return currentVersion(target);
-  const version = Number(given);
+  const text = flagOf(ctx, 'if-version');
+  if (text === undefined) return currentVersion(target);
+  const version = Number(text);
   return Number.isSafeInteger(version) ? version : usage('--if-version must be a whole number');
 }
 
@@ -51,7 +52,7 @@
   document: Json,
 ): Promise<CommandResult> {
   const organisation = flagOf(ctx, 'organisation');
-  const version = await chooseVersion(ctx, target);
+  const version = await expectedVersion(ctx, target);
   if (typeof version !== 'number') return version;
   const changeId = flagOf(ctx, 'change-id');
   const reply = await callAdmin(target, {
@@ -68,7 +69,7 @@
   return done(body, `version ${body.version} accepted`);
 }
 
-/** `apply <file>`: submits a document, or with `--organisation` amends its parameters. */
+/** `apply <file>`: submits a document, or amends the parameters of one organisation. */
 export const apply: Command = async (ctx) => {
   const target = readTarget(ctx);
   if (typeof target === 'string') return usage(target);
@@ -76,37 +77,37 @@
   return document.isErr() ? document.error : submit(ctx, target, document.value);
 };
 
-async function fetchConfig(ctx: CommandContext): Promise<Result<Found, CommandResult>> {
+async function fetchConfig(ctx: CommandContext): Promise<Result<ConfigBody, CommandResult>> {
   const target = readTarget(ctx);
   if (typeof target === 'string') return err(usage(target));
   const version = flagOf(ctx, 'config-version');
   const query = version === undefined ? '' : `?version=${encodeURIComponent(version)}`;
   const reply = await callAdmin(target, { method: 'GET', path: `config${query}` });
   const failure = failureOf(reply);
-  return failure === undefined ? ok((reply as { body: Found }).body) : err(failure);
+  return failure === undefined ? ok((reply as { body: ConfigBody }).body) : err(failure);
 }
 
-/** `get`: the configuration in force, or an earlier one. */
+/** `get`: prints the configuration in force, or an earlier version. */
 export const get: Command = async (ctx) => {
-  const found = await fetchConfig(ctx);
-  if (found.isErr()) return found.error;
-  const { version, document } = found.value;
-  return done(found.value, `# version ${version}\n${stringify(document).trimEnd()}`);
+  const fetched = await fetchConfig(ctx);
+  if (fetched.isErr()) return fetched.error;
+  const { version, document } = fetched.value;
+  return done(fetched.value, `# version ${version}\n${stringify(document).trimEnd()}`);
 };
 
-/** `diff <file>`: what applying the file would change. */
+/** `diff <file>`: prints what applying the file would change. */
 export const diff: Command = async (ctx) => {
   const document = await readFileDocument(ctx);
   if (document.isErr()) return document.error;
-  const found = await fetchConfig(ctx);
-  if (found.isErr()) return found.error;
-  const differences = diffPaths(found.value.document, document.value);
+  const fetched = await fetchConfig(ctx);
+  if (fetched.isErr()) return fetched.error;
+  const differences = diffPaths(fetched.value.document, document.value);
   const text = differences.map(renderDifference).join('\n');
-  const value = { version: found.value.version, differences };
+  const value = { version: fetched.value.version, differences };
   return done(value, text === '' ? 'no differences' : text);
 };
 
-/** `check <file>`: whether a document would be accepted, without a daemon. */
+/** `check <file>`: validates a document locally, without a daemon. */
 export const check: Command = async (ctx) => {
   const document = await readFileDocument(ctx);
   if (document.isErr()) return document.error;
--- a/src/cli/commands/explain.ts
+++ b/src/cli/commands/explain.ts
@@ -1,4 +1,4 @@
-/** `explain`: what happened to one request, from the logs of the daemons. */
+/** `explain`: the timeline of one request, from the logs of all daemons. */
 
 import { explain as explainRequest } from '../../core/explain/explain';
 import type { ExplainedLine } from '../../core/explain/explain';
@@ -7,17 +7,20 @@
 import { readLogs } from '../logs';
 
 const MS_PER_S = 1_000;
-/** Shown apart, or of no use to a reader. */
-const HIDDEN: ReadonlySet<string> = new Set(['level', 'step', 'requestId']);
+/** Fields that have their own column, or are of no use to a reader. */
+const HIDDEN_FIELDS: ReadonlySet<string> = new Set(['level', 'step', 'requestId']);
 
 function renderFields({ fields }: ExplainedLine): string {
   return Object.entries(fields)
-    .filter(([name]) => !HIDDEN.has(name))
+    .filter(([name]) => !HIDDEN_FIELDS.has(name))
     .map(([name, value]) => `${name}=${String(value)}`)
     .join(' ');
 }
 
-/** Seconds before the end of the request, daemon, message and fields; the request's own lines marked. */
+/**
+ * One row per line: seconds relative to the end of the request, daemon, message and fields. `>`
+ * marks the request's own lines.
+ */
 function render(lines: readonly ExplainedLine[]): string {
   const end = Math.max(...lines.filter(({ isOwn }) => isOwn).map(({ commonAt }) => commonAt));
   const width = Math.max(...lines.map(({ daemon }) => daemon.length));
@@ -30,25 +33,26 @@
     .join('\n');
 }
 
+/** `explain <request> [logs...]`. */
 export const explain: Command = async (ctx) => {
   const [requestId, ...files] = ctx.args;
-  if (requestId === undefined) return usage('the id of a request is missing');
+  if (requestId === undefined) return usage('the request id is missing');
   const before = flagOf(ctx, 'before');
   const beforeS = Number(before ?? NaN);
   if (before !== undefined && !(beforeS >= 0)) return usage('--before must be a number of seconds');
   try {
     const lines = await readLogs(files);
-    const found = explainRequest(
+    const explained = explainRequest(
       lines,
       requestId,
       before === undefined ? {} : { beforeMs: beforeS * MS_PER_S },
     );
-    if (found.length > 0) return done(found, render(found));
+    if (explained.length > 0) return done(explained, render(explained));
     return refused({
       code: 'not-found',
-      message: `none of ${lines.length} lines is of request ${requestId}: it was logged elsewhere, or left out`,
+      message: `none of ${lines.length} log lines belongs to request ${requestId}: it was logged by another daemon, or its lines were dropped`,
     });
   } catch (cause) {
-    return usage(`a log cannot be read: ${String(cause)}`);
+    return usage(`cannot read the logs: ${String(cause)}`);
   }
 };
--- a/src/cli/commands/operations.ts
+++ b/src/cli/commands/operations.ts
@@ -1,4 +1,4 @@
-/** `status`, `drain`, `keys` and `version`. */
+/** `status`, `drain`, `keys` and `version`: subcommands for operating daemons. */
 
 import { randomBytes } from 'node:crypto';
 
@@ -18,13 +18,14 @@
   readonly configVersion: number;
 }
 
+/** Response body of `GET /admin/v1/status`. */
 interface StatusBody {
   readonly daemon: string;
   readonly version: number;
   readonly daemons: readonly DaemonStatus[];
 }
 
-/** Rows with their columns in line. */
+/** Aligns columns; the first row is the header. */
 function renderTable(rows: readonly (readonly string[])[]): string {
   const widths = (rows[0] ?? []).map((_, column) =>
     Math.max(...rows.map((row) => row[column]?.length ?? 0)),
@@ -49,7 +50,7 @@
   return renderTable([['DAEMON', 'ZONE', 'STATE', 'VERSION'], ...rows]);
 }
 
-/** `status`: every daemon with the version in force on it. */
+/** `status`: lists every daemon with the configuration version in force on it. */
 export const status: Command = async (ctx) => {
   const target = readTarget(ctx);
   if (typeof target === 'string') return usage(target);
@@ -60,14 +61,14 @@
   return done(body, renderStatus(body));
 };
 
-/** `drain --daemon id` or `drain --instance id`. */
+/** `drain --daemon id` or `drain --instance id`: takes it out of service gracefully. */
 export const drain: Command = async (ctx) => {
   const target = readTarget(ctx);
   if (typeof target === 'string') return usage(target);
   const daemon = flagOf(ctx, 'daemon');
   const instance = flagOf(ctx, 'instance');
   if ((daemon === undefined) === (instance === undefined)) {
-    return usage('name either --daemon or --instance');
+    return usage('give either --daemon or --instance');
   }
   const body = daemon === undefined ? { instance } : { daemon };
   const reply = await callAdmin(target, { method: 'POST', path: 'drain', body });
@@ -109,8 +110,8 @@
   return { key, hash: hashKey(key) };
 }
 
-function showKey({ key, hash }: NewKey): CommandResult {
-  return done({ key, hash }, `key ${key}\nhash ${hash}\nThe key is not kept: note it now.`);
+function keyResult({ key, hash }: NewKey): CommandResult {
+  return done({ key, hash }, `key ${key}\nhash ${hash}\nThe key is not stored: save it now.`);
 }
 
 const addKey: KeyAction = async (ctx, target) => {
@@ -126,12 +127,12 @@
   const reply = await callAdmin(target, { method: 'POST', path: 'keys', body });
   const failure = failureOf(reply);
   if (failure !== undefined) return failure;
-  return showKey(created);
+  return keyResult(created);
 };
 
 const removeKey: KeyAction = async (ctx, target) => {
   const hash = ctx.args[1];
-  if (hash === undefined) return usage('name the hash of the key');
+  if (hash === undefined) return usage('the hash of the key is missing');
   const path = `keys/${encodeURIComponent(hash)}`;
   const reply = await callAdmin(target, { method: 'DELETE', path });
   return failureOf(reply) ?? done({ removed: hash }, `key ${hash} removed`);
@@ -143,16 +144,16 @@
   remove: removeKey,
 };
 
-/** `keys list`, `keys add`, `keys remove <hash>`, and `keys new`, which asks no daemon. */
+/** `keys list`, `keys add`, `keys remove <hash>`, and `keys new`, which needs no daemon. */
 export const keys: Command = async (ctx) => {
   const name = ctx.args[0] ?? 'list';
-  if (name === 'new') return showKey(createKey());
+  if (name === 'new') return keyResult(createKey());
   const action = Object.hasOwn(KEY_ACTIONS, name) ? KEY_ACTIONS[name] : undefined;
-  if (action === undefined) return usage('keys knows list, add, remove and new');
+  if (action === undefined) return usage('unknown action: keys supports list, add, remove and new');
   const target = readTarget(ctx);
   return typeof target === 'string' ? usage(target) : action(ctx, target);
 };
 
-/** `version`: of this program. */
+/** `version`: prints the version of this program. */
 export const version: Command = () =>
   Promise.resolve(done({ version: VERSION, node: process.version }, VERSION));
--- a/src/cli/commands/report.ts
+++ b/src/cli/commands/report.ts
@@ -1,4 +1,4 @@
-/** `report`: what the logs of all daemons tell of a bad day. */
+/** `report`: summarises an incident from the logs of all daemons. */
 
 import { writeFile } from 'node:fs/promises';
 
@@ -9,17 +9,18 @@
 import { renderSvg } from '../report-chart';
 import { renderText } from '../report-text';
 
+/** `report [logs...]`. */
 export const report: Command = async (ctx) => {
   const svg = flagOf(ctx, 'svg');
   try {
     const lines = await readLogs(ctx.args);
     if (lines.length === 0) {
-      return refused({ code: 'not-found', message: 'no line is of a daemon' });
+      return refused({ code: 'not-found', message: 'the input has no log lines of a daemon' });
     }
-    const found = createReport(lines);
-    if (svg !== undefined) await writeFile(svg, renderSvg(found));
-    return done(found, renderText(found));
+    const summary = createReport(lines);
+    if (svg !== undefined) await writeFile(svg, renderSvg(summary));
+    return done(summary, renderText(summary));
   } catch (cause) {
-    return usage(`a log cannot be read, or the drawing not written: ${String(cause)}`);
+    return usage(`cannot read the logs or write the chart: ${String(cause)}`);
   }
 };
--- a/src/cli/diff.ts
+++ b/src/cli/diff.ts
@@ -1,20 +1,21 @@
-/** Differences between two documents, field by field. */
+/** Structural diff of two JSON documents. */
 
 import type { Json } from '../core/json';
 import { isRecord } from '../utils/is';
 
+/** One field that differs. */
 export interface Difference {
-  /** As `organisations.rennes.share`. */
+  /** Dotted path, as `organisations.rennes.share`. */
   readonly path: string;
-  /** Absent: the field is new. */
+  /** Old value; absent where the field was added. */
   readonly from?: Json;
-  /** Absent: the field is gone. */
+  /** New value; absent where the field was removed. */
   readonly to?: Json;
 }
 
 type JsonRecord = Readonly<Record<string, Json>>;
 
-function difference(path: string, from: Json | undefined, to: Json | undefined): Difference {
+function createDifference(path: string, from: Json | undefined, to: Json | undefined): Difference {
   return {
     path,
     ...(from === undefined ? {} : { from }),
@@ -29,7 +30,7 @@
   );
 }
 
-/** A list whose items are told apart by their hash, as a record; their order means nothing. */
+/** Keys a list by the `hash` of its items, where all have one; their order is irrelevant. */
 function recordByHash(list: readonly Json[]): JsonRecord | undefined {
   const entries = list.map((item) => [isRecord(item) ? item.hash : undefined, item] as const);
   return entries.every(([hash]) => typeof hash === 'string')
@@ -44,7 +45,7 @@
   return Array.from({ length }).flatMap((_, i) => diffPaths(from[i], to[i], `${path}[${i}]`));
 }
 
-/** Every field that differs, in order of path; lists are compared place by place, keys by hash. */
+/** Every field that differs, sorted by path. Lists are compared by index, API keys by hash. */
 export function diffPaths(
   from: Json | undefined,
   to: Json | undefined,
@@ -52,13 +53,14 @@
 ): readonly Difference[] {
   if (isRecord(from) && isRecord(to)) return diffRecords(from, to, path);
   if (Array.isArray(from) && Array.isArray(to)) return diffLists(from, to, path);
-  return from === to ? [] : [difference(path, from, to)];
+  return from === to ? [] : [createDifference(path, from, to)];
 }
 
-function show(value: Json | undefined): string {
+function formatValue(value: Json | undefined): string {
   return value === undefined ? '(absent)' : JSON.stringify(value);
 }
 
+/** One line: path, old and new value. */
 export function renderDifference({ path, from, to }: Difference): string {
-  return `${path}: ${show(from)} -> ${show(to)}`;
+  return `${path}: ${formatValue(from)} -> ${formatValue(to)}`;
 }
--- a/src/cli/logs.ts
+++ b/src/cli/logs.ts
@@ -1,4 +1,4 @@
-/** Daemons' logs, from files or standard input. */
+/** Reads daemon logs from files or standard input. */
 
 import { createReadStream } from 'node:fs';
 import { createInterface } from 'node:readline';
@@ -16,7 +16,10 @@
   return lines;
 }
 
-/** All lines that a daemon wrote; of standard input without a path. Rejects where a file can't be read. */
+/**
+ * Log lines of all files, or of standard input without a path; lines that no daemon wrote are
+ * skipped. Rejects if a file can't be read.
+ */
 export async function readLogs(paths: readonly string[]): Promise<LogLine[]> {
   const inputs = paths.length === 0 ? [process.stdin] : paths.map((path) => createReadStream(path));
   return (await Promise.all(inputs.map(readStream))).flat();
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -1,4 +1,4 @@
-/** The program: one binary, a subcommand each for the daemon and for operators. */
+/** Entry point of the `nutmegstack` binary: `serve` and the operator subcommands. */
 
 import { startDaemon } from '../app/daemon';
 import { runProgram } from './program';
--- a/src/cli/program.ts
+++ b/src/cli/program.ts
@@ -1,4 +1,4 @@
-/** The command line: subcommands, their flags and their help. */
+/** Command line parser: subcommands, their flags and their help. */
 
 import sade from 'sade';
 
@@ -22,7 +22,7 @@
 }
 
 interface CommandSpec {
-  /** Arguments without a flag, as the help shows them. */
+  /** Positional arguments, as the help shows them. */
   readonly usage: string;
   readonly help: string;
   readonly flags: readonly FlagSpec[];
@@ -145,7 +145,7 @@
   for (const [name, spec] of Object.entries(COMMANDS)) {
     program.command(`${name} ${spec.usage}`.trim(), spec.help);
     for (const { flag, help, byDefault } of spec.flags) {
-      // A default known to the parser would hide the variable.
+      // Shown in the help only: a default known to the parser would mask the environment variable.
       const suffix = byDefault === undefined || byDefault === '' ? '' : `; default ${byDefault}`;
       program.option(`--${flag}`, `${help}${suffix}`);
     }
@@ -155,7 +155,7 @@
   return program;
 }
 
-/** A parsed command line: what to run, or what was wrong with it; neither where help was printed. */
+/** A parsed command line: what to run, or a usage error; neither if help was printed. */
 interface Parsed {
   readonly run?: Command;
   readonly ctx?: Pick<CommandContext, 'args' | 'flags'>;
@@ -163,12 +163,12 @@
 }
 
 interface FlagOptions {
-  /** Flags whose values stay text. */
+  /** Flags whose values are kept as strings. */
   readonly string: string[];
   readonly unknown: (flag: string) => unknown;
 }
 
-/** Undefined where help was printed instead. */
+/** Arguments, the flags last; undefined if help was printed instead. */
 function parseFlags(argv: readonly string[], opts: FlagOptions): readonly unknown[] | undefined {
   const parsed = buildProgram().parse([...argv], { ...opts, lazy: true }) as
     sade.LazyOutput | undefined;
@@ -177,17 +177,17 @@
 
 function parseCommand(argv: readonly string[], name: string): Parsed {
   const spec = COMMANDS[name];
-  if (spec === undefined) return { wrong: usage(`no command ${name}`) };
+  if (spec === undefined) return { wrong: usage(`unknown command ${name}`) };
   const unknown: string[] = [];
   const parsed = parseFlags(argv, {
     string: spec.flags.map(({ flag }) => flag),
-    // What is returned goes on as the parsed flags; the parser would end the program otherwise.
+    // The returned object becomes the parsed flags; without one, the parser exits the process.
     unknown: (flag) => {
       unknown.push(flag);
       return { _: [] };
     },
   });
-  if (unknown[0] !== undefined) return { wrong: usage(`${name} has no flag ${unknown[0]}`) };
+  if (unknown[0] !== undefined) return { wrong: usage(`${name}: unknown flag ${unknown[0]}`) };
   if (parsed === undefined) return {};
   const flags = parsed.at(-1) as Flags & { readonly _: readonly unknown[] };
   const args = [...parsed.slice(0, -1), ...flags._].filter((arg) => arg !== undefined);
@@ -198,7 +198,7 @@
   const name = argv[2];
   if (name === undefined) {
     buildProgram().help();
-    return { wrong: usage('name a command') };
+    return { wrong: usage('no command given') };
   }
   if (!GLOBAL_FLAGS.has(name)) return parseCommand(argv, name);
   buildProgram().parse([...argv], { lazy: true });
@@ -206,10 +206,10 @@
 }
 
 function renderError(name: string, error: NonNullable<CommandResult['error']>): string {
-  const where = [error.step, error.peer].filter((part) => part !== undefined).join(' ');
-  const first = `nutmegstack ${name}: ${error.code}: ${error.message}`;
+  const origin = [error.step, error.peer].filter((part) => part !== undefined).join(' ');
+  const summary = `nutmegstack ${name}: ${error.code}: ${error.message}`;
   const fields = (error.fields ?? []).map(({ path, message }) => `  ${path}: ${message}`);
-  return [where === '' ? first : `${first} (${where})`, ...fields].join('\n');
+  return [origin === '' ? summary : `${summary} (${origin})`, ...fields].join('\n');
 }
 
 function print(name: string, asJson: boolean, result: CommandResult): void {
--- a/src/cli/report-chart.ts
+++ b/src/cli/report-chart.ts
@@ -1,4 +1,4 @@
-/** A report as a drawing: what became of requests in each second. */
+/** Renders a report as an SVG bar chart: request outcomes per second. */
 
 import { BarChart } from 'echarts/charts';
 import { GridComponent, LegendComponent, TitleComponent } from 'echarts/components';
@@ -10,7 +10,7 @@
 const MS_PER_S = 1_000;
 const WIDTH = 1_200;
 const HEIGHT = 500;
-/** From well to badly, so that colours mean the same in every report. */
+/** Colour by outcome, best first; fixed, so that reports can be compared. */
 const COLOURS: Readonly<Record<string, string>> = {
   served: '#4c9f70',
   'caller-gone': '#9aa5b1',
@@ -22,6 +22,7 @@
 
 use([BarChart, GridComponent, LegendComponent, TitleComponent, SVGRenderer]);
 
+/** The chart as an SVG document. */
 export function renderSvg({ seconds, startedAt }: Report): string {
   const chart = init(null, null, { renderer: 'svg', ssr: true, width: WIDTH, height: HEIGHT });
   chart.setOption({
--- a/src/cli/report-text.ts
+++ b/src/cli/report-text.ts
@@ -1,9 +1,9 @@
-/** A report as text for a terminal. */
+/** Renders a report as text for a terminal. */
 
 import type { Report, OutcomeSecond, WorkSample } from '../core/report/types';
 
 const MS_PER_S = 1_000;
-const MOST_ROWS = 10;
+const MAX_ROWS = 10;
 
 function seconds(ms: number): string {
   return `${(ms / MS_PER_S).toFixed(1)} s`;
@@ -20,28 +20,30 @@
   return [title, ...lines].join('\n');
 }
 
-function lostShare({ outcomes }: OutcomeSecond): number {
+/** Fraction of the requests ended in this second that were not served. */
+function unservedRatio({ outcomes }: OutcomeSecond): number {
   const all = Object.values(outcomes).reduce((sum, count) => sum + count, 0);
   return 1 - (outcomes.served ?? 0) / all;
 }
 
-/** The seconds in which the largest part was not served, worst first. */
+/** The seconds with the highest ratio of requests not served, worst first. */
 function worstSeconds({ seconds: all }: Report): OutcomeSecond[] {
   return all
-    .filter((second) => lostShare(second) > 0)
-    .sort((a, b) => lostShare(b) - lostShare(a))
-    .slice(0, MOST_ROWS);
+    .filter((second) => unservedRatio(second) > 0)
+    .sort((a, b) => unservedRatio(b) - unservedRatio(a))
+    .slice(0, MAX_ROWS);
 }
 
-/** The moments in which most requests waited, in daemons or engines. */
-function worstWork({ work }: Report): readonly WorkSample[] {
-  const standing = ({ queued, waiting }: WorkSample): number => queued + waiting;
+/** The samples with most requests queued, in daemons or engines, longest queue first. */
+function longestQueues({ work }: Report): readonly WorkSample[] {
+  const queueLength = ({ queued, waiting }: WorkSample): number => queued + waiting;
   return work
-    .filter((second) => standing(second) > 0)
-    .sort((a, b) => standing(b) - standing(a))
-    .slice(0, MOST_ROWS);
+    .filter((second) => queueLength(second) > 0)
+    .sort((a, b) => queueLength(b) - queueLength(a))
+    .slice(0, MAX_ROWS);
 }
 
+/** A headline and one table per section. */
 export function renderText(report: Report): string {
   const { startedAt, lastsMs, daemons, leaders } = report;
   const head = `${daemons.length} daemons, ${seconds(lastsMs)} from ${new Date(startedAt).toISOString()}`;
@@ -63,7 +65,7 @@
     table('Not served', [
       ['outcome', 'count', 'from', 'to', 'reason'],
       ...report.reasons
-        .slice(0, MOST_ROWS)
+        .slice(0, MAX_ROWS)
         .map(({ outcome, reason, count, firstAt, lastAt }) => [
           outcome,
           String(count),
@@ -76,7 +78,7 @@
       ['at', 'not served', 'outcomes'],
       ...worstSeconds(report).map((second) => [
         seconds(second.at),
-        `${Math.round(100 * lostShare(second))}%`,
+        `${Math.round(100 * unservedRatio(second))}%`,
         Object.entries(second.outcomes)
           .map(([outcome, count]) => `${outcome} ${count}`)
           .join(', '),
@@ -96,7 +98,7 @@
     ]),
     table('Most requests without a place', [
       ['at', 'model', 'groups', 'places', 'running', 'free', 'waiting', 'queued in engines'],
-      ...worstWork(report).map((second) => [
+      ...longestQueues(report).map((second) => [
         seconds(second.at),
         second.model,
         String(second.groups),
@@ -110,7 +112,7 @@
     table('Store without an answer', [
       ['at', 'for', 'daemon', 'collection'],
       ...report.outages
-        .slice(0, MOST_ROWS)
+        .slice(0, MAX_ROWS)
         .map(({ at, ms, daemon, collection }) => [
           seconds(at),
           ms === undefined ? 'not seen back' : seconds(ms),
@@ -131,7 +133,7 @@
       ['version', 'first at', 'until last', 'daemons'],
       ...[...report.versions]
         .sort((a, b) => b.spreadMs - a.spreadMs)
-        .slice(0, MOST_ROWS)
+        .slice(0, MAX_ROWS)
         .map(({ version, at, spreadMs, daemons: count }) => [
           String(version),
           seconds(at),
--- a/src/cli/settings.ts
+++ b/src/cli/settings.ts
@@ -1,4 +1,4 @@
-/** Settings of `serve`: one table of flags and variables, checked all at once. */
+/** Settings of `serve`: one table of flags and environment variables, validated together. */
 
 import { randomInt } from 'node:crypto';
 import { isIP } from 'node:net';
@@ -13,7 +13,7 @@
 const NAME = /^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$/;
 const HASH = /^[0-9a-f]{64}$/;
 const MAX_PORT = 65_535;
-const SHORTEST_SECRET = 16;
+const MIN_SECRET_CHARS = 16;
 const MAX_SEED = 0xffff_ffff;
 const HOUR_MS = 3_600_000;
 
@@ -37,24 +37,24 @@
   .regex(NAME, 'must be 1 to 63 letters, digits, dots, underscores or hyphens');
 const path = z.string().min(1);
 
-function whole(least: number, most: number): z.ZodType<number, string> {
+function integer(min: number, max: number): z.ZodType<number, string> {
   return z
     .string()
     .regex(/^\d+$/, 'must be a whole number')
     .transform(Number)
-    .pipe(z.number().min(least).max(most));
+    .pipe(z.number().min(min).max(max));
 }
 
-/** One setting, under its flag; the variable follows from the flag. */
+/** One setting. The name of its environment variable is derived from the flag. */
 export interface SettingSpec {
   readonly flag: string;
   readonly help: string;
-  /** As it would be written; absent: the setting must be given, or may be left out. */
+  /** Default, as text. Where absent, the schema decides whether the setting is required. */
   readonly byDefault?: string;
   readonly schema: z.ZodType<unknown, string | undefined>;
 }
 
-/** Every setting of `serve`, by the name under which the daemon knows it. */
+/** Every setting of `serve`, by its field in `DaemonSettings`. */
 export const SETTINGS = {
   id: { flag: 'id', help: 'Name of this daemon, unlike all others', schema: name },
   zone: { flag: 'zone', help: 'Availability zone of this instance', schema: name },
@@ -85,7 +85,7 @@
   peerSecret: {
     flag: 'peer-secret',
     help: 'Shared by all daemons; better given by variable, since flags are seen in process lists',
-    schema: z.string().min(SHORTEST_SECRET, `must have at least ${SHORTEST_SECRET} characters`),
+    schema: z.string().min(MIN_SECRET_CHARS, `must have at least ${MIN_SECRET_CHARS} characters`),
   },
   peerTlsCert: {
     flag: 'peer-tls-cert',
@@ -126,60 +126,61 @@
   seed: {
     flag: 'seed',
     help: 'Seed of every random choice; left out: a new one with each start',
-    schema: whole(0, MAX_SEED).optional(),
+    schema: integer(0, MAX_SEED).optional(),
   },
   maxBodyBytes: {
     flag: 'max-body-bytes',
     help: "Longest body of a caller's request",
     byDefault: '4194304',
-    schema: whole(1024, 1 << 30),
+    schema: integer(1024, 1 << 30),
   },
   maxHeaderBytes: {
     flag: 'max-header-bytes',
     help: "Longest header of a caller's request",
     byDefault: '16384',
-    schema: whole(1024, 1 << 20),
+    schema: integer(1024, 1 << 20),
   },
   maxConnections: {
     flag: 'max-connections',
     help: 'Open connections of callers',
     byDefault: '10000',
-    schema: whole(1, 1_000_000),
+    schema: integer(1, 1_000_000),
   },
   drainWaitMs: {
     flag: 'drain-wait-ms',
     help: 'At a planned stop, time for the balancer to see that this daemon is not ready',
     byDefault: '5000',
-    schema: whole(0, HOUR_MS),
+    schema: integer(0, HOUR_MS),
   },
   drainLimitMs: {
     flag: 'drain-limit-ms',
     help: 'At a planned stop, longest wait for streams to finish',
     byDefault: '600000',
-    schema: whole(0, 24 * HOUR_MS),
+    schema: integer(0, 24 * HOUR_MS),
   },
   claimCommitsPerSecond: {
     flag: 'claim-commits-per-second',
     help: 'Transactions of claims a second that all daemons together may commit',
     byDefault: '200',
-    schema: whole(1, 100_000),
+    schema: integer(1, 100_000),
   },
 } as const satisfies Readonly<Record<string, SettingSpec>>;
 
 type SettingName = keyof typeof SETTINGS;
 
-/** One thing wrong with the settings. */
+/** One invalid or missing setting. */
 export interface SettingFault {
   readonly flag: string;
   readonly variable: string;
   readonly message: string;
 }
 
-/** Flags as parsed; numbers and booleans are what the parser made of the text. */
+/** Parsed flags; the parser may have turned text into numbers or booleans. */
 export type Flags = Readonly<Record<string, unknown>>;
+/** Environment variables. */
 export type Environment = Readonly<Record<string, string | undefined>>;
 
-/** The variable of a flag. */
+/** The environment variable of a flag. */
 export function variableOf(flag: string): string {
   return `NUTMEGSTACK_${flag.replaceAll('-', '_').toUpperCase()}`;
 }
@@ -191,9 +192,9 @@
 ) as unknown as Shape;
 
 const SCHEMA = z.object(SHAPE);
-type Checked = z.output<typeof SCHEMA>;
+type ParsedSettings = z.output<typeof SCHEMA>;
 
-/** What was written for a setting: the flag goes before the variable. */
+/** The text of a setting: flag, then environment variable, then default. */
 function rawValue(spec: SettingSpec, flags: Flags, env: Environment): string | undefined {
   const flag = flags[spec.flag];
   if (typeof flag === 'string') return flag;
@@ -215,19 +216,19 @@
   });
 }
 
-/** The three files of a certificate go together. */
-function checkTls(checked: Checked): SettingFault[] {
-  const { peerTlsCert, peerTlsKey, peerTlsCa } = checked;
+/** Peer TLS needs all three files, or none. */
+function checkTls(parsed: ParsedSettings): SettingFault[] {
+  const { peerTlsCert, peerTlsKey, peerTlsCa } = parsed;
   const given = [peerTlsCert, peerTlsKey, peerTlsCa].filter((file) => file !== undefined);
   if (given.length === 0 || given.length === 3) return [];
-  const message = 'certificate, key and authority must be given together';
+  const message = 'certificate, key and certificate authority must be given together';
   return [SETTINGS.peerTlsCert, SETTINGS.peerTlsKey, SETTINGS.peerTlsCa]
     .filter((_, i) => [peerTlsCert, peerTlsKey, peerTlsCa][i] === undefined)
     .map((spec) => faultOf(spec, message));
 }
 
-function toSettings(checked: Checked): DaemonSettings {
-  const { id, zone, peerTlsCert, peerTlsKey, peerTlsCa, ...rest } = checked;
+function toSettings(parsed: ParsedSettings): DaemonSettings {
+  const { id, zone, peerTlsCert, peerTlsKey, peerTlsCa, ...rest } = parsed;
   const { bootstrapKeyHash, otlpUrl, seed, ...required } = rest;
   const hasTls = peerTlsCert !== undefined && peerTlsKey !== undefined && peerTlsCa !== undefined;
   return {
@@ -243,7 +244,7 @@
   };
 }
 
-/** The settings of `serve`, or everything that is wrong with them. */
+/** Reads and validates the settings of `serve`; on failure, reports every invalid one. */
 export function readSettings(
   flags: Flags,
   env: Environment,
--- a/tests/cli-settings.test.ts
+++ b/tests/cli-settings.test.ts
@@ -13,14 +13,14 @@
   NUTMEGSTACK_PEER_SECRET: 'sixteen letters!',
 };
 
-function wrong(flags: Flags, env: Environment): string[] {
+function faultsOf(flags: Flags, env: Environment): string[] {
   return readSettings(flags, env)
     ._unsafeUnwrapErr()
     .map(({ flag, variable, message }) => `${flag} ${variable} ${message}`);
 }
 
 describe('settings of serve', () => {
-  it('come from variables, flags going first, defaults last', () => {
+  it('come from flags, then variables, then defaults', () => {
     const settings = readSettings({ zone: 'brest' }, ENV)._unsafeUnwrap();
     expect(settings).toMatchObject({
       id: 'e1',
@@ -31,12 +31,12 @@
     expect(settings).not.toHaveProperty('otlpUrl');
   });
 
-  it('keep the text of a flag that looks like a number', () => {
+  it('keep a flag that looks like a number as text', () => {
     expect(readSettings({ id: '007' }, ENV)._unsafeUnwrap().id).toBe('007');
   });
 
   it('are all reported at once, by flag and variable', () => {
-    expect(wrong({ listen: 'localhost:80', seed: '-1' }, { NUTMEGSTACK_SEEDS: 'a:1' })).toEqual([
+    expect(faultsOf({ listen: 'localhost:80', seed: '-1' }, { NUTMEGSTACK_SEEDS: 'a:1' })).toEqual([
       '--id NUTMEGSTACK_ID must be given',
       '--zone NUTMEGSTACK_ZONE must be given',
       expect.stringMatching(/^--listen NUTMEGSTACK_LISTEN must be an IP number/),
@@ -47,8 +47,8 @@
     ]);
   });
 
-  it('take the files of a certificate together only', () => {
-    expect(wrong({ 'peer-tls-cert': 'a.pem' }, ENV)).toEqual([
+  it('require all peer TLS files or none', () => {
+    expect(faultsOf({ 'peer-tls-cert': 'a.pem' }, ENV)).toEqual([
       expect.stringContaining('--peer-tls-key'),
       expect.stringContaining('--peer-tls-ca'),
     ]);
@@ -57,7 +57,7 @@
     expect(peerTls).toEqual({ certFile: 'a', keyFile: 'b', caFile: 'c' });
   });
 
-  it('are all named on the operators’ page', () => {
+  it('are all documented for operators', () => {
     const page = readFileSync('docs/OPERATORS.md', 'utf8');
     for (const { flag } of Object.values(SETTINGS)) {
       expect(page).toContain(`--${flag}`);
@@ -72,7 +72,7 @@
     .map((file) => readFileSync(join('src', file), 'utf8'));
   const names = sources.flatMap((text) => text.match(/(?<=')nutmegstack_[a-z_]+(?=')/g) ?? []);
 
-  it.each([...new Set(names)])('%s is described for operators', (name) => {
+  it.each([...new Set(names)])('%s is documented for operators', (name) => {
     expect(readFileSync('docs/OPERATORS.md', 'utf8')).toContain(name);
     expect(DESCRIPTIONS).toHaveProperty(name);
   });
--- a/tests/cli.test.ts
+++ b/tests/cli.test.ts
@@ -15,33 +15,33 @@
 
 let server: Server;
 let parts: FakeParts;
-/** Answers the next requests in place of the daemon. */
-let instead: ((res: ServerResponse) => void)[];
-let out: string;
-let errors: string;
+/** Responses that replace those of the daemon for the next requests, in order. */
+let overrides: ((res: ServerResponse) => void)[];
+let stdout: string;
+let stderr: string;
 
 beforeEach(async () => {
-  instead = [];
-  out = '';
-  errors = '';
+  overrides = [];
+  stdout = '';
+  stderr = '';
   parts = fakeParts(fakeConfig(DOCUMENT));
   const handler = createAdmin(parts.deps);
   server = createServer((req, res) => {
-    const answer = instead.shift();
-    if (answer === undefined) handler(req, res);
-    else answer(res);
+    const respond = overrides.shift();
+    if (respond === undefined) handler(req, res);
+    else respond(res);
   });
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   vi.spyOn(process.stdout, 'write').mockImplementation((text) => {
-    out += String(text);
+    stdout += String(text);
     return true;
   });
   vi.spyOn(process.stderr, 'write').mockImplementation((text) => {
-    errors += String(text);
+    stderr += String(text);
     return true;
   });
   vi.spyOn(console, 'log').mockImplementation((text) => {
-    out += String(text);
+    stdout += String(text);
   });
 });
 
@@ -58,14 +58,14 @@
 }
 
 function output(): unknown {
-  return JSON.parse(out) as unknown;
+  return JSON.parse(stdout) as unknown;
 }
 
 describe('the command line', () => {
-  it.each(Object.keys(COMMANDS))('explains %s', async (name) => {
+  it.each(Object.keys(COMMANDS))('prints help for %s', async (name) => {
     expect(await nutmegstack(name, '--help')).toBe(0);
-    expect(out).toContain(`$ nutmegstack ${name}`);
-    for (const { flag } of COMMANDS[name]?.flags ?? []) expect(out).toContain(`--${flag}`);
+    expect(stdout).toContain(`$ nutmegstack ${name}`);
+    for (const { flag } of COMMANDS[name]?.flags ?? []) expect(stdout).toContain(`--${flag}`);
   });
 
   it.each([
@@ -78,9 +78,9 @@
     [['drain', '--daemon', 'e1', '--instance', 'i1']],
     [['keys', 'lose']],
     [['serve', '--listen', 'nowhere']],
-  ])('ends %j with 2 without trying anything', async (args) => {
+  ])('exits with 2 on %j without sending a request', async (args) => {
     expect(await nutmegstack(...args)).toBe(2);
-    expect(errors).toContain('usage');
+    expect(stderr).toContain('usage');
     expect(parts.asked).toEqual([]);
   });
 
@@ -91,7 +91,7 @@
 });
 
 describe('serve', () => {
-  it('says where it listens, and stops gracefully on SIGTERM', async () => {
+  it('prints its addresses when ready, and drains on SIGTERM', async () => {
     let stop: (() => void) | undefined;
     const stopped = new Promise<void>((resolve) => {
       stop = resolve;
@@ -115,20 +115,20 @@
 });
 
 describe('apply', () => {
-  it('submits a document on the version in force', async () => {
+  it('submits a document against the version in force', async () => {
     expect(await nutmegstack('apply', 'examples/armor.yaml', '--output', 'json')).toBe(0);
     expect(output()).toMatchObject({ version: 2 });
   });
 
-  it('is refused on another version', async () => {
+  it('is rejected when another version is in force', async () => {
     expect(await nutmegstack('apply', 'examples/armor.yaml', '--if-version', '7')).toBe(1);
-    expect(errors).toContain('conflict');
+    expect(stderr).toContain('conflict');
   });
 
-  it('sends the same change again when an answer is lost', async () => {
+  it('retries with the same change id when a response is lost', async () => {
     const ids: unknown[] = [];
     server.prependListener('request', (req) => ids.push(req.headers['nutmegstack-change-id']));
-    instead = [
+    overrides = [
       (res) => res.writeHead(200).end(JSON.stringify({ version: 1, document: DOCUMENT })),
       (res) => res.destroy(),
     ];
@@ -138,9 +138,9 @@
     expect(new Set(sent).size).toBe(1);
   });
 
-  it('ends with 3 when no one can tell what became of the change', async () => {
+  it('exits with 3 when the outcome of the change is unknown', async () => {
     const unknown = { error: { code: 'store-unknown', message: 'lost', outcome: 'unknown' } };
-    instead = [
+    overrides = [
       (res) => res.writeHead(200).end(JSON.stringify({ version: 1, document: DOCUMENT })),
       ...Array.from({ length: 5 }, () => (res: ServerResponse) => {
         res.writeHead(503).end(JSON.stringify(unknown));
@@ -153,29 +153,29 @@
 describe('reading commands', () => {
   it('print the configuration as YAML and as JSON', async () => {
     expect(await nutmegstack('get')).toBe(0);
-    expect(out).toMatch(/^# version 1\ntemplates:\n/);
-    out = '';
+    expect(stdout).toMatch(/^# version 1\ntemplates:\n/);
+    stdout = '';
     expect(await nutmegstack('get', '--output', 'json')).toBe(0);
     expect(output()).toEqual({ version: 1, document: DOCUMENT });
   });
 
   it('show what a file would change', async () => {
     expect(await nutmegstack('diff', 'examples/armor.yaml')).toBe(0);
-    expect(out).toContain('organisations.brest.replicas.query: 0.8 -> (absent)\n');
-    expect(out).toContain(`keys.${HASHES.caller}: {"hash"`);
+    expect(stdout).toContain('organisations.brest.replicas.query: 0.8 -> (absent)\n');
+    expect(stdout).toContain(`keys.${HASHES.caller}: {"hash"`);
   });
 
   it('show every daemon', async () => {
     expect(await nutmegstack('status')).toBe(0);
-    expect(out).toBe(
+    expect(stdout).toBe(
       'DAEMON  ZONE    STATE  VERSION\ne1      rennes  alive  1\ne2      rennes  alive  1\n',
     );
   });
 
-  it('name each wrong field of a file without a daemon', async () => {
+  it('report every invalid field of a file without a daemon', async () => {
     expect(await nutmegstack('check', 'examples/armor.yaml')).toBe(0);
     expect(await nutmegstack('check', 'package.json')).toBe(1);
-    expect(errors).toContain('scripts: unknown field');
+    expect(stderr).toContain('scripts: unknown field');
   });
 });
 
@@ -186,14 +186,14 @@
     expect(parts.asked).toEqual(['admin-drain e2', 'instance i1']);
   });
 
-  it('make a key with its hash without a daemon', async () => {
+  it('create a key and its hash without a daemon', async () => {
     const args = ['node', 'nutmegstack', 'keys', 'new', '--output', 'json'];
     expect(await runProgram(args, {}, startDaemon)).toBe(0);
     const { key, hash } = output() as { key: string; hash: string };
     expect(hash).toBe(hashKey(key));
   });
 
-  it('add and remove keys, of which the daemon sees hashes alone', async () => {
+  it('add and remove keys, sending only hashes to the daemon', async () => {
     const add = ['keys', 'add', '--organisation', 'rennes', '--class', 'pharmacist'];
     expect(await nutmegstack(...add, '--output', 'json')).toBe(0);
     const { key, hash } = output() as { key: string; hash: string };
@@ -204,10 +204,10 @@
     expect(parts.deps.config.current().keys).not.toHaveProperty(hash);
   });
 
-  it('end with 1 when no daemon can be reached', async () => {
+  it('exit with 1 when no daemon is reachable', async () => {
     const env = { NUTMEGSTACK_ADMIN: '127.0.0.1:1', NUTMEGSTACK_KEY: 'operator' };
     const args = ['node', 'nutmegstack', 'drain', '--daemon', 'e2'];
     expect(await runProgram(args, env, startDaemon)).toBe(1);
-    expect(errors).toContain('unavailable');
+    expect(stderr).toContain('unavailable');
   });
 });
