--- a/stand-ins/platform/faults.ts
+++ b/stand-ins/platform/faults.ts
@@ -1,4 +1,4 @@
-/** Fault switches and counts of the platform's four services. */
+/** Fault injection and request counters of the platform's four services. */
 
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
@@ -7,27 +7,29 @@
 import { sendJson } from '../shared/server';
 import type { RateLimit } from './limits';
 
+/** Names of the services, as fields of `/faults`. */
 export const SERVICES = ['table', 'objects', 'instances', 'weights'] as const;
 export type ServiceName = (typeof SERVICES)[number];
 
+/** Injected faults of one service; each affected write decrements its counter. */
 export interface ServiceFaults extends GateFaults {
-  /** The next n writes take effect; their connections are cut before the answer. */
+  /** The next n writes take effect; their connections are closed before the response. */
   lostAnswers?: number;
-  /** The next n writes are cut before they take effect. */
+  /** The connections of the next n writes are closed before they take effect. */
   lostRequests?: number;
-  /** How old the instance list is, milliseconds. */
+  /** Staleness of the instance list, milliseconds. */
   lagMs?: number;
 }
 
 export type PlatformFaults = Record<ServiceName, ServiceFaults>;
 
-/** Requests served, by name. */
+/** Number of requests served, by operation. */
 export type Counts = Record<string, number>;
 
-/** One request to one service. */
+/** How a request to a service is counted, limited and subjected to faults. */
 export interface Call {
   readonly faults: ServiceFaults;
-  /** Under which name it is counted. */
+  /** Key in `Counts`. */
   readonly count: string;
   readonly write: boolean;
   readonly limit?: RateLimit;
@@ -37,7 +39,10 @@
   return { table: {}, objects: {}, instances: { lagMs }, weights: {} };
 }
 
-/** Runs `act` under the fault switches; `act` returns the function that answers. */
+/**
+ * Executes `act` subject to rate limit and faults; `act` returns the function that sends the
+ * response.
+ */
 export async function underFaults(
   { faults, count, write, limit }: Call,
   counts: Counts,
--- a/stand-ins/platform/instances.ts
+++ b/stand-ins/platform/instances.ts
@@ -1,9 +1,9 @@
-/** The instance list, as it was some time ago. */
+/** History of the instance list, so that it can be served with a lag. */
 
 import type { InstanceEntry } from '../../src/ports/platform';
 
-/** Older states than this are forgotten, milliseconds. */
-const LONGEST_LAG_MS = 600_000;
+/** Longest lag that can be served; older changes are dropped. */
+const MAX_LAG_MS = 600_000;
 
 interface Change {
   readonly at: number;
@@ -14,6 +14,7 @@
 /** Every change of each instance, oldest first. */
 export type InstanceHistory = Map<string, Change[]>;
 
+/** Records a change of an instance; `entry` undefined removes it. */
 export function enterInstance(
   history: InstanceHistory,
   id: string,
@@ -22,7 +23,7 @@
 ): void {
   const changes = history.get(id) ?? [];
   changes.push(entry === undefined ? { at: now } : { at: now, entry });
-  const kept = changes.findLastIndex(({ at }) => at <= now - LONGEST_LAG_MS);
+  const kept = changes.findLastIndex(({ at }) => at <= now - MAX_LAG_MS);
   history.set(id, kept > 0 ? changes.slice(kept) : changes);
 }
 
--- a/stand-ins/platform/limits.ts
+++ b/stand-ins/platform/limits.ts
@@ -1,7 +1,7 @@
-/** A token bucket that holds one second's worth. */
+/** Token bucket rate limit with a capacity of one second's tokens. */
 
 export interface RateLimit {
-  /** Takes one; false when the rate is used up. */
+  /** Takes one token; false when none is available. */
   take(): boolean;
 }
 
--- a/stand-ins/platform/main.ts
+++ b/stand-ins/platform/main.ts
@@ -1,4 +1,4 @@
-/** The platform stand-in as a process. */
+/** Entry point of the platform stand-in. */
 
 import sade from 'sade';
 
--- a/stand-ins/platform/platform.ts
+++ b/stand-ins/platform/platform.ts
@@ -1,4 +1,4 @@
-/** The platform's four services under one address. */
+/** Stand-in for the platform: table, objects, instance list and weight store at one address. */
 
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
@@ -16,21 +16,23 @@
 import { createWeightStore } from './weights';
 import type { WeightStore } from './weights';
 
+/** Options of `startPlatform`. */
 export interface PlatformOptions {
   /** `host:port` to listen on. */
   readonly listen?: string;
   readonly commitsPerSecond?: number;
   readonly readsPerSecond?: number;
-  /** Rate of the weight store. */
+  /** Total bandwidth of the weight store. */
   readonly bytesPerSecond?: number;
-  /** How old the instance list is at first, milliseconds. */
+  /** Initial staleness of the instance list, milliseconds. */
   readonly lagMs?: number;
 }
 
+/** A running platform, with access to its internals for tests. */
 export interface Platform extends Running {
   readonly faults: PlatformFaults;
   readonly counts: Counts;
-  /** The rows themselves, for the oracles of tests. */
+  /** The stored rows, for assertions in tests. */
   readonly table: TableState;
 }
 
@@ -46,14 +48,14 @@
   readonly limits: Readonly<Record<'commits' | 'reads' | 'puts' | 'gets', Call['limit'] & object>>;
 }
 
-interface Routed {
+interface RouteResult {
   readonly call: Call;
   readonly act: Act;
 }
 
-type Route = (s: Services, req: IncomingMessage, res: ServerResponse, name: string) => Routed;
+type Route = (s: Services, req: IncomingMessage, res: ServerResponse, name: string) => RouteResult;
 
-/** Routes by method and first segments of the path; the rest of the path is the name. */
+/** Routes by method and path, or by method and first path segment; the remaining path is the name. */
 const ROUTES: Readonly<Record<string, Route>> = {
   'POST /table/read': (s, req, res) => ({
     call: { faults: s.faults.table, count: 'tableReads', write: false, limit: s.limits.reads },
@@ -155,8 +157,8 @@
 function findRoute(req: IncomingMessage): { route: Route; name: string } | undefined {
   const [, first = '', ...rest] = pathOf(req).split('/');
   const method = req.method ?? 'GET';
-  const whole = ROUTES[`${method} /${[first, ...rest].join('/')}`];
-  if (whole !== undefined) return { route: whole, name: '' };
+  const exact = ROUTES[`${method} /${[first, ...rest].join('/')}`];
+  if (exact !== undefined) return { route: exact, name: '' };
   const named = ROUTES[`${method} /${first}`];
   return named && { route: named, name: decodeURIComponent(rest.join('/')) };
 }
@@ -183,7 +185,7 @@
   await underFaults(call, s.counts, req, res, act);
 }
 
-/** Starts the platform inside this process. */
+/** Starts the platform in this process. */
 export async function startPlatform({
   listen: at = '127.0.0.1:0',
   commitsPerSecond = 400,
--- a/stand-ins/platform/table.ts
+++ b/stand-ins/platform/table.ts
@@ -1,18 +1,18 @@
-/** Rows in memory with transactions: conditions on versions, then writes, all or nothing. */
+/** In-memory table with atomic transactions: conditions on row versions, then writes. */
 
 import { compareText } from '../../src/utils/common';
 import type { Committed, Json, Row, ScanPage, Transaction } from '../../src/ports/platform';
 
-const SCAN_LIMIT = 1000;
+const MAX_SCAN_ROWS = 1000;
 
-/** Nothing was written because this row had another version. */
+/** Key of the first row whose version did not match; nothing was written. */
 export interface Conflict {
   readonly conflict: string;
 }
 
 export interface TableState {
   readonly rows: Map<string, { version: number; value: Json }>;
-  /** Last version given; grows with each write of any row. */
+  /** Last assigned version; incremented with each write of any row. */
   lastVersion: number;
 }
 
@@ -27,21 +27,23 @@
   });
 }
 
+/** One page of rows by key order; `after` is set where more rows follow. */
 export function scanRows(
   table: TableState,
   prefix: string,
   after: string | undefined,
-  limit = SCAN_LIMIT,
+  limit = MAX_SCAN_ROWS,
 ): ScanPage {
   const keys = [...table.rows.keys()]
     .filter((key) => key.startsWith(prefix) && (after === undefined || key > after))
     .sort(compareText);
-  const page = keys.slice(0, Math.min(limit, SCAN_LIMIT));
+  const page = keys.slice(0, Math.min(limit, MAX_SCAN_ROWS));
   const last = page.at(-1);
   const rows = readRows(table, page);
   return keys.length > page.length && last !== undefined ? { rows, after: last } : { rows };
 }
 
+/** Commits a transaction, or returns its first conflict. Deleted rows have version 0. */
 export function commitRows(
   table: TableState,
   { conditions, writes }: Transaction,
--- a/stand-ins/platform/weights.ts
+++ b/stand-ins/platform/weights.ts
@@ -1,12 +1,12 @@
-/** The weight store: transfers that share one rate. */
+/** Weight store whose concurrent transfers share one bandwidth equally. */
 
 interface Transfer {
-  left: number;
+  remaining: number;
   readonly done: () => void;
 }
 
 export interface WeightStore {
-  /** Resolves when so many bytes went through. */
+  /** Resolves when this many bytes were transferred. */
   transfer(bytes: number): Promise<void>;
   close(): void;
 }
@@ -18,11 +18,11 @@
 
   const advance = (): void => {
     const now = performance.now();
-    const each = ((now - lastAt) * bytesPerSecond) / 1000 / Math.max(active.size, 1);
+    const bytesEach = ((now - lastAt) * bytesPerSecond) / 1000 / Math.max(active.size, 1);
     lastAt = now;
     for (const item of active) {
-      item.left -= each;
-      if (item.left > 0) continue;
+      item.remaining -= bytesEach;
+      if (item.remaining > 0) continue;
       active.delete(item);
       item.done();
     }
@@ -31,7 +31,7 @@
   const schedule = (): void => {
     clearTimeout(timer);
     if (active.size === 0) return;
-    const least = Math.min(...[...active].map(({ left }) => left));
+    const least = Math.min(...[...active].map(({ remaining }) => remaining));
     const waitMs = Math.ceil((least * active.size * 1000) / bytesPerSecond);
     timer = setTimeout(() => {
       advance();
@@ -43,7 +43,7 @@
     transfer: (bytes) =>
       new Promise((resolve) => {
         advance();
-        active.add({ left: bytes, done: resolve });
+        active.add({ remaining: bytes, done: resolve });
         schedule();
       }),
     close: () => {
--- a/stand-ins/service/main.ts
+++ b/stand-ins/service/main.ts
@@ -1,4 +1,4 @@
-/** The plain service stand-in as a process. */
+/** Entry point of the plain service stand-in. */
 
 import sade from 'sade';
 
--- a/stand-ins/service/service.ts
+++ b/stand-ins/service/service.ts
@@ -1,4 +1,4 @@
-/** A plain service that counts what it ran. */
+/** Stand-in for a plain HTTP service; records every execution of a request. */
 
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
@@ -8,27 +8,29 @@
 import { headerOf, listen, pathOf, readBody, readJson, sendJson } from '../shared/server';
 import type { Running } from '../shared/program';
 
+/** Options of `startService`. */
 export interface ServiceOptions {
   /** `host:port` to listen on. */
   readonly listen?: string;
-  /** A key seen before gets its first answer and does not run again. */
+  /** Replay the first response to a known `idempotency-key` instead of executing again. */
   readonly honoursKey?: boolean;
 }
 
-/** Fault switches; counts go down by one with each request hit. */
+/** Injected faults; each affected request decrements its counter. */
 export interface PlainServiceFaults extends GateFaults {
-  /** The next n calls run; their connections are cut before the answer. */
+  /** The next n calls are executed; their connections are closed before the response. */
   loseAnswers?: number;
-  /** The next n calls run; their answers are cut halfway. */
+  /** The next n calls are executed; their connections are closed halfway through the response. */
   cutMidAnswer?: number;
-  /** The next n calls are refused without having run; true: all. */
+  /** The next n calls are refused without being executed; true: all. */
   refuse?: number | boolean;
 }
 
+/** What the service executed, as `GET /record` returns it. */
 export interface ServiceRecord {
-  /** Runs by `idempotency-key`, else by `nutmegstack-attempt`. */
+  /** Number of executions by `idempotency-key`, else by `nutmegstack-attempt`. */
   readonly executions: Record<string, number>;
-  /** Every run, oldest first. */
+  /** Keys of all executions, oldest first. */
   readonly inOrder: string[];
 }
 
@@ -55,9 +57,9 @@
 
 function isRefused(faults: PlainServiceFaults): boolean {
   if (typeof faults.refuse === 'boolean') return faults.refuse;
-  const left = faults.refuse ?? 0;
-  if (left > 0) faults.refuse = left - 1;
-  return left > 0;
+  const remaining = faults.refuse ?? 0;
+  if (remaining > 0) faults.refuse = remaining - 1;
+  return remaining > 0;
 }
 
 function execute(state: State, req: IncomingMessage, bytes: number): Answer {
@@ -81,7 +83,8 @@
   return answer;
 }
 
-function cutHalfway(res: ServerResponse, answer: Answer): void {
+/** Sends half of the response, then destroys the connection. */
+function sendHalf(res: ServerResponse, answer: Answer): void {
   const text = JSON.stringify(answer);
   res.writeHead(200, { 'content-type': 'application/json', 'content-length': text.length });
   res.write(text.slice(0, text.length / 2), () => res.destroy());
@@ -100,7 +103,7 @@
     return;
   }
   if (takeOne(state.faults as Record<string, number>, 'cutMidAnswer')) {
-    cutHalfway(res, answer);
+    sendHalf(res, answer);
     return;
   }
   const attempt = headerOf(req, 'nutmegstack-attempt');
@@ -121,7 +124,7 @@
   await serveCall(state, req, res);
 }
 
-/** Starts a plain service inside this process. */
+/** Starts a plain service in this process. */
 export async function startService({
   listen: at = '127.0.0.1:0',
   honoursKey = false,
--- a/stand-ins/shared/client.ts
+++ b/stand-ins/shared/client.ts
@@ -1,9 +1,10 @@
-/** JSON calls from a stand-in to another process. */
+/** HTTP client for JSON requests from a stand-in to another process. */
 
 import { Agent, request } from 'node:http';
 
 import { parseAddress } from '../../src/utils/address';
 
+/** One HTTP request with a JSON body. */
 export interface JsonCall {
   /** `host:port`. */
   readonly address: string;
@@ -14,6 +15,7 @@
   readonly timeoutMs?: number;
 }
 
+/** Status and parsed body; the body is undefined where it is empty. */
 export interface JsonAnswer {
   readonly status: number;
   readonly body: unknown;
@@ -21,7 +23,7 @@
 
 const agent = new Agent({ keepAlive: true });
 
-/** Sends one call and reads its JSON answer; rejects when the connection breaks. */
+/** Sends one request and parses the JSON response; rejects on a connection error or a timeout. */
 export function callJson({
   address,
   method,
@@ -33,18 +35,18 @@
   const { host, port } = parseAddress(address);
   return new Promise((resolve, reject) => {
     const req = request({ host, port, method, path, agent, headers }, (res) => {
-      const parts: Buffer[] = [];
-      res.on('data', (part: Buffer) => parts.push(part));
+      const chunks: Buffer[] = [];
+      res.on('data', (chunk: Buffer) => chunks.push(chunk));
       res.on('error', reject);
       res.on('end', () => {
-        const text = Buffer.concat(parts).toString('utf8');
+        const text = Buffer.concat(chunks).toString('utf8');
         resolve({
           status: res.statusCode ?? 0,
           body: text === '' ? undefined : (JSON.parse(text) as unknown),
         });
       });
     });
-    req.setTimeout(timeoutMs, () => req.destroy(new Error('timed out')));
+    req.setTimeout(timeoutMs, () => req.destroy(new Error('request timed out')));
     req.on('error', reject);
     req.end(body === undefined ? undefined : JSON.stringify(body));
   });
--- a/stand-ins/shared/gate.ts
+++ b/stand-ins/shared/gate.ts
@@ -1,32 +1,35 @@
-/** Fault switches that every stand-in knows: down, slow and frozen. */
+/** Fault injection common to all stand-ins: down, slow and frozen. */
 
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
 import { sendJson } from './server';
 
-/** The switches that delay or refuse a request before it is looked at. */
+/** Faults that delay or refuse a request before it is processed. */
 export interface GateFaults {
-  /** Answer 503: nothing was done. */
+  /** Respond 503 without processing the request. */
   down?: boolean;
-  /** Wait this long before doing anything, milliseconds. */
+  /** Delay before processing, milliseconds. */
   slowMs?: number;
-  /** Hold every request until switched off. */
+  /** Hold every request until the fault is cleared. */
   frozen?: boolean;
 }
 
-/** How often a frozen stand-in looks whether it may go on, milliseconds. */
-const THAW_CHECK_MS = 5;
+/** Interval at which a frozen stand-in polls whether the fault was cleared. */
+const THAW_POLL_MS = 5;
 
 export function sleep(ms: number): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, ms));
 }
 
-/** Resolves once `frozen` is off. */
+/** Resolves once `frozen` is cleared. */
 export async function thawed(faults: GateFaults): Promise<void> {
-  while (faults.frozen === true) await sleep(THAW_CHECK_MS);
+  while (faults.frozen === true) await sleep(THAW_POLL_MS);
 }
 
-/** Whether the request may go on; answers it where it may not. */
+/**
+ * Applies the faults to a request. False where it must not be processed: it was answered with 503,
+ * or the client disconnected in the meantime.
+ */
 export async function passGate(
   faults: GateFaults,
   req: IncomingMessage,
@@ -44,10 +47,10 @@
   return !req.destroyed || req.complete;
 }
 
-/** Takes one off a count; false when it was already 0. */
+/** Decrements a counter; false when it was already 0. */
 export function takeOne<K extends string>(counts: Partial<Record<K, number>>, name: K): boolean {
-  const left = counts[name] ?? 0;
-  if (left <= 0) return false;
-  counts[name] = left - 1;
+  const remaining = counts[name] ?? 0;
+  if (remaining <= 0) return false;
+  counts[name] = remaining - 1;
   return true;
 }
--- a/stand-ins/shared/program.ts
+++ b/stand-ins/shared/program.ts
@@ -1,12 +1,12 @@
-/** What the entry points share: the line that says ready, and the end on SIGTERM. */
+/** Shared by the entry points: the ready line on stdout, and shutdown on SIGTERM. */
 
-/** Something that runs until closed. */
+/** A started stand-in. */
 export interface Running {
   readonly address: string;
   close(): Promise<void>;
 }
 
-/** Prints the ready line and closes on SIGTERM or SIGINT. */
+/** Prints the ready line, one JSON object; closes and exits on SIGTERM or SIGINT. */
 export function announce(role: string, running: Running, more: object = {}): void {
   process.stdout.write(
     `${JSON.stringify({ ready: true, role, address: running.address, ...more })}\n`,
@@ -18,7 +18,7 @@
   process.once('SIGINT', stop);
 }
 
-/** Prints why a stand-in did not start, and ends it. */
+/** Prints the error of a failed start and exits with 1. */
 export function exitOnFailure(started: Promise<void>): void {
   started.catch((err: unknown) => {
     process.stderr.write(`${String(err)}\n`);
--- a/stand-ins/shared/server.ts
+++ b/stand-ins/shared/server.ts
@@ -1,24 +1,27 @@
-/** A small HTTP server with a table of routes; what every stand-in is made of. */
+/** HTTP server and request helpers on which the stand-ins are built. */
 
 import { createServer } from 'node:http';
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
 
-/** Handles one request; an error thrown becomes a 400 with its message. */
+/**
+ * Handles one request. A thrown error becomes a 400 with its message; after the headers were sent,
+ * the connection is destroyed instead.
+ */
 export type Handle = (req: IncomingMessage, res: ServerResponse) => void | Promise<void>;
 
-/** Where to listen; port 0 takes a free one. */
+/** Address to listen on; port 0 picks a free port. */
 export interface ListenAddress {
   readonly host: string;
   readonly port: number;
 }
 
-/** A server that listens. */
+/** A listening server. */
 export interface Listening {
   /** `host:port`. */
   readonly address: string;
   readonly port: number;
-  /** Tears every connection and closes the port. */
+  /** Closes the port and destroys all connections. */
   close(): Promise<void>;
 }
 
@@ -30,7 +33,7 @@
   sendJson(res, 400, { error: err instanceof Error ? err.message : String(err) });
 }
 
-/** Starts to listen; resolves once the port is open. */
+/** Starts an HTTP server; resolves once it listens. */
 export async function listen(handle: Handle, at: ListenAddress): Promise<Listening> {
   const server = createServer((req, res) => {
     res.on('error', () => undefined);
@@ -57,14 +60,14 @@
   };
 }
 
-/** Reads the whole body. */
+/** Reads the complete body. */
 export async function readBody(req: IncomingMessage): Promise<Buffer> {
-  const parts: Buffer[] = [];
-  for await (const part of req) parts.push(part as Buffer);
-  return Buffer.concat(parts);
+  const chunks: Buffer[] = [];
+  for await (const chunk of req) chunks.push(chunk as Buffer);
+  return Buffer.concat(chunks);
 }
 
-/** Reads a JSON body; the caller names the shape that the interface promises. */
+/** Parses a JSON body; `{}` where it is empty. The caller casts it to the expected shape. */
 export async function readJson(req: IncomingMessage): Promise<unknown> {
   const text = (await readBody(req)).toString('utf8');
   return text === '' ? {} : (JSON.parse(text) as unknown);
--- a/tests/stand-ins-platform.test.ts
+++ b/tests/stand-ins-platform.test.ts
@@ -27,7 +27,7 @@
 }
 
 describe('table service', () => {
-  it('writes all rows of a transaction or none', async () => {
+  it('commits transactions atomically', async () => {
     await put('a', 0, 1);
     const conditions = [
       { key: 'b', version: 0 },
@@ -39,14 +39,14 @@
     expect((await read('a', 'b')).body).toEqual({ rows: [{ key: 'a', version: 1, value: 1 }] });
   });
 
-  it('never gives a row that was deleted and put again an old version', async () => {
+  it('never reuses a version for a row that was deleted and written again', async () => {
     await put('a', 0, 1);
     await call('POST', '/table/commit', { conditions: [], writes: [{ key: 'a' }] });
     const again = await put('a', 0, 1);
     expect(again.body).toEqual({ versions: { a: 3 } });
   });
 
-  it('scans a prefix in pages by key order', async () => {
+  it('scans a prefix page by page in key order', async () => {
     const writes = ['p/2', 'q/1', 'p/1', 'p/3'].map((key) => ({ key, value: key }));
     await call('POST', '/table/commit', { conditions: [], writes });
     const first = await call('POST', '/table/scan', { prefix: 'p/', limit: 2 });
@@ -55,7 +55,7 @@
     expect(second.body).toEqual({ rows: [{ key: 'p/3', version: 4, value: 'p/3' }] });
   });
 
-  it('answers 429 beyond its rate', async () => {
+  it('responds 429 above its rate limit', async () => {
     await platform.close();
     platform = await startPlatform({ commitsPerSecond: 2 });
     const answers = await Promise.all(Array.from({ length: 20 }, (_, i) => put(`k${i}`, 0, i)));
@@ -64,7 +64,7 @@
     expect(platform.table.rows.size).toBe(answers.length - refused.length);
   });
 
-  it('answers 503 while down, with nothing done', async () => {
+  it('responds 503 while down, without any effect', async () => {
     await call('POST', '/faults', { table: { down: true } });
     expect((await put('a', 0, 1)).status).toBe(503);
     await call('POST', '/faults', { table: { down: false } });
@@ -83,7 +83,7 @@
     expect((await read('a')).body).toEqual({ rows: [] });
   });
 
-  it('holds requests while frozen and goes on afterwards', async () => {
+  it('holds requests while frozen and resumes afterwards', async () => {
     await call('POST', '/faults', { table: { frozen: true } });
     const held = put('a', 0, 1);
     expect(platform.table.rows.size).toBe(0);
@@ -93,7 +93,7 @@
 });
 
 describe('instance list', () => {
-  it('is as old as its lag', async () => {
+  it('lags by the configured time', async () => {
     const entry = { id: 'i1', role: 'engine', state: 'live' };
     await call('PUT', '/instances/i1', entry);
     expect((await call('GET', '/instances')).body).toEqual({ instances: [entry] });
@@ -101,7 +101,7 @@
     expect((await call('GET', '/instances')).body).toEqual({ instances: [] });
   });
 
-  it('forgets an instance that was removed', async () => {
+  it('omits a removed instance', async () => {
     await call('PUT', '/instances/i1', { id: 'i1' });
     await call('DELETE', '/instances/i1');
     expect((await call('GET', '/instances')).body).toEqual({ instances: [] });
@@ -109,7 +109,7 @@
 });
 
 describe('object store', () => {
-  it('keeps bytes by key', async () => {
+  it('stores bytes by key', async () => {
     expect((await call('PUT', '/objects/a/b', { x: 1 })).status).toBe(204);
     expect((await call('GET', '/objects/a/b')).body).toEqual({ x: 1 });
     await call('DELETE', '/objects/a/b');
@@ -118,7 +118,7 @@
 });
 
 describe('weight store', () => {
-  it('shares its rate between transfers', async () => {
+  it('shares its bandwidth between transfers', async () => {
     const order: string[] = [];
     const transfer = async (name: string, bytes: number): Promise<void> => {
       await call('POST', '/weights/m', { bytes });
@@ -131,7 +131,7 @@
 });
 
 describe('fault switches', () => {
-  it('report themselves and the counts of requests served', async () => {
+  it('are returned with the counts of requests served', async () => {
     await put('a', 0, 1);
     const { body } = await call('GET', '/faults');
     expect(body).toMatchObject({ faults: { table: {} }, counts: { tableCommits: 1 } });
--- a/tests/stand-ins-service.test.ts
+++ b/tests/stand-ins-service.test.ts
@@ -24,7 +24,7 @@
 }
 
 describe('plain service', () => {
-  it('counts its runs by idempotency key', async () => {
+  it('counts executions by idempotency key', async () => {
     await start();
     await reserve('k');
     const second = await reserve('k');
@@ -33,26 +33,29 @@
     expect(body).toEqual({ executions: { k: 2 }, inOrder: ['k', 'k'] });
   });
 
-  it('runs a key once when it honours keys', async () => {
+  it('executes a key once when it honours idempotency keys', async () => {
     await start({ honoursKey: true });
     const first = await reserve('k');
     expect((await reserve('k')).body).toEqual(first.body);
     expect(service.record.executions).toEqual({ k: 1 });
   });
 
-  it('refuses without running', async () => {
+  it('refuses without executing', async () => {
     await start();
     service.faults.refuse = 1;
     expect((await reserve('k')).status).toBe(503);
     expect(service.record.executions).toEqual({});
   });
 
-  it.each(['loseAnswers', 'cutMidAnswer'] as const)('runs although %s cuts it', async (fault) => {
-    await start();
-    service.faults[fault] = 1;
-    await expect(reserve('k')).rejects.toThrow();
-    expect(service.record.executions).toEqual({ k: 1 });
-  });
+  it.each(['loseAnswers', 'cutMidAnswer'] as const)(
+    'executes the call although %s breaks the connection',
+    async (fault) => {
+      await start();
+      service.faults[fault] = 1;
+      await expect(reserve('k')).rejects.toThrow();
+      expect(service.record.executions).toEqual({ k: 1 });
+    },
+  );
 
   it('does nothing while down', async () => {
     await start();
