--- a/src/adapters/engine.ts
+++ b/src/adapters/engine.ts
@@ -161,7 +161,7 @@
     bytes += chunk.length;
     if (bytes > MAX_BODY_BYTES) {
       res.destroy();
-      throw fail('bad-answer', 'report exceeds the size limit', { step: 'probe' });
+      throw fail('bad-answer', `report exceeds ${MAX_BODY_BYTES} bytes`, { step: 'probe' });
     }
     chunks.push(chunk);
   }
--- a/src/adapters/http-call.ts
+++ b/src/adapters/http-call.ts
@@ -63,7 +63,9 @@
       headers,
       ...(call.signal && { signal: call.signal }),
     });
-    const limit = createTimeout(call.timeoutMs, () => req.destroy(new Error('call timed out')));
+    const limit = createTimeout(call.timeoutMs, () =>
+      req.destroy(new Error(`no complete response within ${call.timeoutMs} ms`)),
+    );
     const onError = (err: Error): void => {
       limit.clear();
       reject(err);
--- a/src/adapters/peers/link.ts
+++ b/src/adapters/peers/link.ts
@@ -62,7 +62,7 @@
   let handshakeBytes = 0;
 
   const timer = setTimeout(() => {
-    destroy('handshake timeout');
+    destroy(`handshake not completed within ${limits.handshakeMs} ms`);
   }, limits.handshakeMs);
 
   function write(frame: unknown): void {
@@ -114,7 +114,7 @@
   socket.on('data', (chunk: Buffer) => {
     if (phase !== 'open') handshakeBytes += chunk.length;
     if (handshakeBytes > limits.handshakeBytes)
-      destroy('too many bytes before the end of the handshake');
+      destroy(`more than ${limits.handshakeBytes} bytes before the end of the handshake`);
     else decoder.write(chunk);
   });
   decoder.on('data', (frame: unknown) => {
@@ -138,7 +138,7 @@
   function sendEncoded(bytes: Uint8Array): boolean {
     if (socket.destroyed || !socket.writable) return false;
     if (socket.writableLength > limits.bufferBytes) {
-      destroy('send buffer full: the peer reads too slowly');
+      destroy(`send buffer exceeds ${limits.bufferBytes} bytes: the peer reads too slowly`);
       return false;
     }
     socket.write(bytes);
