--- a/src/app/gateway/http-server.ts
+++ b/src/app/gateway/http-server.ts
@@ -140,13 +140,13 @@
   }
   const { maxBodyBytes } = table.config.limits;
   if (Number(req.headers['content-length'] ?? 0) > maxBodyBytes) {
-    refuse(deps, facts, res, [413, 'the body is too long']);
+    refuse(deps, facts, res, [413, `the body exceeds ${maxBodyBytes} bytes`]);
     return;
   }
   const body = await readBody(req, maxBodyBytes);
   if (body === 'broken' || callerSignal.aborted) return;
   if (body === 'too-long') {
-    refuse(deps, facts, res, [413, 'the body is too long']);
+    refuse(deps, facts, res, [413, `the body exceeds ${maxBodyBytes} bytes`]);
     return;
   }
   const exchange = toExchange({ deps, req, res, body, facts, arrivedAt, gone: callerSignal });
