--- a/stand-ins/engine/answer.ts
+++ b/stand-ins/engine/answer.ts
@@ -1,8 +1,8 @@
-/** The answer of a model: a function of the prompt alone, so that tests can check it whole. */
+/** Generates completions deterministically from model and prompt, so that tests can predict them. */
 
 import { hashParts } from '../../src/utils/common';
 
-/** What a completion request asks, as far as a stand-in cares. */
+/** The fields of a completion request that the stand-in reads. */
 export interface CompletionBody {
   readonly model: string;
   readonly prompt?: string;
@@ -13,38 +13,39 @@
   readonly max_completion_tokens?: number;
 }
 
+/** A generated completion. */
 export interface Answer {
-  /** One token each; their concatenation is the text. */
+  /** Their concatenation is the text. */
   readonly tokens: readonly string[];
   readonly finishReason: 'stop' | 'length';
   readonly promptTokens: number;
 }
 
 const WORDS = 'amber birch cedar delta ember fjord grove heath inlet jetty knoll lagoon'.split(' ');
-const SHORTEST = 6;
-const SPREAD = 20;
-/** A prompt with `tokens=40` is answered by 40 tokens. */
-const WANTED_LENGTH = /\btokens=(\d+)\b/;
+const MIN_TOKENS = 6;
+const TOKEN_RANGE = 20;
+/** `tokens=40` in a prompt requests 40 tokens. */
+const LENGTH_PATTERN = /\btokens=(\d+)\b/;
 const CHARS_PER_TOKEN = 4;
 
-/** The prompt as one text, whichever way it came. */
+/** The prompt as one text, of a chat or a plain completion. */
 export function promptOf(body: CompletionBody): string {
   if (body.messages === undefined) return body.prompt ?? '';
   return body.messages.map(({ role, content }) => `${role}: ${content}`).join('\n');
 }
 
-function wantedLength(prompt: string, digest: string): number {
-  const wanted = WANTED_LENGTH.exec(prompt)?.[1];
-  return wanted === undefined
-    ? SHORTEST + (parseInt(digest.slice(0, 4), 16) % SPREAD)
-    : Number(wanted);
+function completionLength(prompt: string, digest: string): number {
+  const requested = LENGTH_PATTERN.exec(prompt)?.[1];
+  return requested === undefined
+    ? MIN_TOKENS + (parseInt(digest.slice(0, 4), 16) % TOKEN_RANGE)
+    : Number(requested);
 }
 
-/** Answers a prompt. The first token carries a digest of model and prompt. */
+/** Generates a completion. Its first token is a digest of model and prompt. */
 export function answerOf(body: CompletionBody): Answer {
   const prompt = promptOf(body);
   const digest = hashParts(body.model, prompt);
-  const length = wantedLength(prompt, digest);
+  const length = completionLength(prompt, digest);
   const limit = body.max_completion_tokens ?? body.max_tokens ?? length;
   const count = Math.min(length, limit);
   const start = parseInt(digest.slice(4, 8), 16);
@@ -58,7 +59,7 @@
   };
 }
 
-/** The whole text of the answer to a prompt. */
+/** The text of the completion of a prompt. */
 export function answerText(body: CompletionBody): string {
   return answerOf(body).tokens.join('');
 }
--- a/stand-ins/engine/batch.ts
+++ b/stand-ins/engine/batch.ts
@@ -1,4 +1,4 @@
-/** Continuous batching: each step gives every running job one token. */
+/** Continuous batching: each step generates one token for every running job. */
 
 import { sleep, thawed } from '../shared/gate';
 import type { GateFaults } from '../shared/gate';
@@ -7,21 +7,22 @@
 export interface Job {
   /** Higher runs first. */
   readonly priority: number;
-  /** Not begun after this, milliseconds since the Unix epoch. */
+  /** Expires if not started by then, milliseconds since the Unix epoch. */
   readonly deadline: number;
+  /** Called when the job is admitted to the batch. */
   begin(): void;
-  /** Advances by one token; `wait` when its reader is behind. */
+  /** Generates one token; `wait` where the client reads too slowly. */
   step(): 'more' | 'wait' | 'end';
-  /** Never begun: the deadline passed in the queue. */
+  /** Called instead of `begin` where the deadline passed in the queue. */
   expire(): void;
-  /** The group broke. */
-  tear(): void;
+  /** Aborts the job: its group broke. */
+  abort(): void;
 }
 
 export interface BatchOptions {
   readonly maxBatch: number;
   readonly maxQueue: number;
-  /** Time of a step, milliseconds; read before each. */
+  /** Duration of a step, milliseconds; read after each step. */
   readonly tokenMs: () => number;
   readonly faults: GateFaults;
 }
@@ -29,9 +30,10 @@
 export interface Batch {
   /** False when the queue is full. */
   submit(job: Job): boolean;
-  /** Forgets a job whose caller went away. */
+  /** Removes a job whose client disconnected. */
   cancel(job: Job): void;
-  tearAll(): void;
+  /** Aborts all running and queued jobs. */
+  abortAll(): void;
   running(): number;
   queued(): number;
 }
@@ -46,7 +48,7 @@
   let queue: Job[] = [];
   let looping = false;
 
-  const admit = (): void => {
+  const admitQueued = (): void => {
     while (active.size < maxBatch) {
       const job = queue.shift();
       if (job === undefined) return;
@@ -63,7 +65,7 @@
     looping = true;
     while (active.size + queue.length > 0) {
       await thawed(faults);
-      admit();
+      admitQueued();
       for (const job of [...active]) {
         if (active.has(job) && job.step() === 'end') active.delete(job);
       }
@@ -84,11 +86,11 @@
       active.delete(job);
       queue = queue.filter((other) => other !== job);
     },
-    tearAll: () => {
+    abortAll: () => {
       const all = [...active, ...queue];
       active.clear();
       queue = [];
-      for (const job of all) job.tear();
+      for (const job of all) job.abort();
     },
     running: () => active.size,
     queued: () => queue.length,
--- a/stand-ins/engine/cache.ts
+++ b/stand-ins/engine/cache.ts
@@ -1,18 +1,19 @@
-/** A prefix cache of fixed size; its events come late and with gaps. */
+/** LRU prefix cache whose events are delayed and have gaps. */
 
 import { hashParts } from '../../src/utils/common';
 
 /** Prompts are cached in blocks of this many characters. */
 const BLOCK_CHARS = 64;
 const DIGEST_CHARS = 16;
-/** Every so many events one is lost. */
+/** One in this many events is dropped. */
 const GAP_EVERY = 7;
 const EVENTS_KEPT = 10_000;
 
+/** A change of the cache. A gap in `seq` is a lost event. */
 export interface CacheEvent {
   readonly seq: number;
   readonly kind: 'stored' | 'evicted';
-  /** Digest of the prefix: each block hashed together with the digest before it. */
+  /** Digest of the prefix: hash of its last block and the digest of the blocks before. */
   readonly prefix: string;
 }
 
@@ -22,7 +23,7 @@
 }
 
 export interface PrefixCache {
-  /** Stores a prompt; returns how many of its characters were held already. */
+  /** Caches a prompt; returns how many of its characters were cached already. */
   use(salt: string, prompt: string): number;
   eventsAfter(seq: number): CacheEvents;
   clear(): void;
@@ -30,11 +31,11 @@
 
 export interface PrefixCacheOptions {
   readonly capacityBlocks?: number;
-  /** How late events come, milliseconds. */
+  /** Delay of events, milliseconds. */
   readonly lagMs?: number;
 }
 
-/** Digests of the prefixes of a prompt, block by block; the salt keeps organisations apart. */
+/** Digests of all block-aligned prefixes; the salt separates the caches of organisations. */
 export function prefixesOf(salt: string, prompt: string): readonly string[] {
   const prefixes: string[] = [];
   let digest = hashParts(salt).slice(0, DIGEST_CHARS);
@@ -49,8 +50,8 @@
   capacityBlocks = 4096,
   lagMs = 200,
 }: PrefixCacheOptions = {}): PrefixCache {
-  /** In order of last use. */
-  const held = new Set<string>();
+  /** Least recently used first. */
+  const cached = new Set<string>();
   let events: (CacheEvent & { readonly at: number })[] = [];
   let seq = 0;
 
@@ -62,19 +63,19 @@
   };
 
   const store = (prefix: string): void => {
-    const known = held.delete(prefix);
-    held.add(prefix);
-    if (!known) emit('stored', prefix);
-    const [oldest] = held;
-    if (held.size <= capacityBlocks || oldest === undefined) return;
-    held.delete(oldest);
+    const isCached = cached.delete(prefix);
+    cached.add(prefix);
+    if (!isCached) emit('stored', prefix);
+    const [oldest] = cached;
+    if (cached.size <= capacityBlocks || oldest === undefined) return;
+    cached.delete(oldest);
     emit('evicted', oldest);
   };
 
   return {
     use: (salt, prompt) => {
       const prefixes = prefixesOf(salt, prompt);
-      const missing = prefixes.findIndex((prefix) => !held.has(prefix));
+      const missing = prefixes.findIndex((prefix) => !cached.has(prefix));
       prefixes.forEach(store);
       return (missing === -1 ? prefixes.length : missing) * BLOCK_CHARS;
     },
@@ -87,7 +88,7 @@
       };
     },
     clear: () => {
-      held.clear();
+      cached.clear();
       events = [];
     },
   };
--- a/stand-ins/engine/completions.ts
+++ b/stand-ins/engine/completions.ts
@@ -1,4 +1,4 @@
-/** Requests to a model: checked, queued, answered as a stream or whole. */
+/** Completion requests: validated, batched, answered as a stream or in one body. */
 
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
@@ -12,31 +12,33 @@
 import type { EngineFaults } from './faults';
 import type { MemberState } from './orders';
 import type { MemberRecord, RunEntry } from './record';
-import { createCompletion, eventAt, eventCount, LAST_EVENT, wholeAnswer } from './wire';
+import { createCompletion, eventAt, eventCount, LAST_EVENT, renderBody } from './wire';
 import type { Completion } from './wire';
 
+/** A prompt with this text crashes the member. */
 const CRASH_MARK = 'crash-me';
 const CHARS_PER_TOKEN = 4;
-/** Uncached prompt tokens that one step works through. */
+/** Uncached prompt tokens that one step prefills. */
 const PREFILL_TOKENS_PER_STEP = 2048;
-const RESUMABLE_KEPT = 256;
+const MAX_RESUMABLE = 256;
+/** Default delay of the `lateAnswers` fault. */
 const LATE_MS = 1000;
 
-/** What answering needs of its member. */
+/** What serving a completion needs of its member. */
 export interface Serving {
   state(): MemberState;
   readonly faults: EngineFaults;
   readonly batch: Batch;
   readonly cache: PrefixCache;
   readonly record: MemberRecord;
-  /** Answers that can be resumed, by attempt. */
+  /** Completions that can be resumed, by attempt; the oldest are evicted. */
   readonly resumable: Map<string, Completion>;
   readonly maxBatch: number;
   crash(): void;
 }
 
-/** How one answer is spoilt, decided when it begins. */
-interface Spoilt {
+/** Faults injected into one response, decided when its job is created. */
+interface ResponseFaults {
   readonly truncate: boolean;
   readonly noFinish: boolean;
   readonly duplicate: boolean;
@@ -54,8 +56,8 @@
   sendJson(res, 503, { error }, { 'nutmegstack-refused': 'true', 'retry-after': '1' });
 }
 
-/** Whether this member may answer; answers the request where it may not. */
-function mayServe(serving: Serving, req: IncomingMessage, res: ServerResponse): boolean {
+/** Whether this member may serve the request; refuses it otherwise. */
+function admitRequest(serving: Serving, req: IncomingMessage, res: ServerResponse): boolean {
   const { phase, holding } = serving.state();
   const sameGroup = headerOf(req, 'nutmegstack-group') === holding?.group;
   const sameEpoch = headerOf(req, 'nutmegstack-epoch') === String(holding?.epoch);
@@ -70,7 +72,7 @@
   return true;
 }
 
-function spoil(faults: EngineFaults): Spoilt {
+function takeResponseFaults(faults: EngineFaults): ResponseFaults {
   return {
     truncate: takeOne(faults, 'truncate'),
     noFinish: takeOne(faults, 'noFinish'),
@@ -83,7 +85,7 @@
   serving: Serving,
   res: ServerResponse,
   { completion, cachedTokens }: JobOptions,
-  more: Readonly<Record<string, string | number>>,
+  extra: Readonly<Record<string, string | number>>,
 ): void {
   const { holding } = serving.state();
   const { batch, faults, maxBatch } = serving;
@@ -96,44 +98,44 @@
     'nutmegstack-attempt': attempt,
     'nutmegstack-load': `${batch.running()}/${batch.queued()}/${maxBatch}`,
     'nutmegstack-cached-tokens': cachedTokens,
-    ...more,
+    ...extra,
   });
 }
 
-function streamOut(res: ServerResponse, completion: Completion, spoilt: Spoilt): void {
-  if (spoilt.wrongLength) {
+function endStream(res: ServerResponse, completion: Completion, injected: ResponseFaults): void {
+  if (injected.wrongLength) {
     res.destroy();
     return;
   }
-  if (!spoilt.truncate) res.write(LAST_EVENT);
-  if (spoilt.duplicate) {
+  if (!injected.truncate) res.write(LAST_EVENT);
+  if (injected.duplicate) {
     for (let i = 0; i < eventCount(completion); i += 1) res.write(eventAt(completion, i));
     res.write(LAST_EVENT);
   }
   res.end();
 }
 
-function wholeOut(res: ServerResponse, text: string, spoilt: Spoilt): void {
-  if (spoilt.wrongLength) {
+function endBody(res: ServerResponse, text: string, injected: ResponseFaults): void {
+  if (injected.wrongLength) {
     res.write(text, () => {
       res.destroy();
     });
     return;
   }
-  const half = spoilt.truncate ? text.slice(0, text.length / 2) : text;
-  res.end(spoilt.duplicate ? half + text : half);
+  const half = injected.truncate ? text.slice(0, text.length / 2) : text;
+  res.end(injected.duplicate ? half + text : half);
 }
 
-/** The job of a stream: one event a step, none while the reader is behind. */
+/** Job of a streamed response: one event per step, none while the socket applies back pressure. */
 function streamJob(
   serving: Serving,
   res: ServerResponse,
   opts: JobOptions,
 ): Pick<Job, 'begin' | 'step'> {
   const { completion } = opts;
-  const spoilt = spoil(serving.faults);
+  const injected = takeResponseFaults(serving.faults);
   const count = eventCount(completion);
-  const end = spoilt.truncate ? Math.floor(count / 2) : count;
+  const end = injected.truncate ? Math.floor(count / 2) : count;
   const finishAt = completion.answer.tokens.length;
   let index = opts.from;
   return {
@@ -142,37 +144,37 @@
     },
     step: () => {
       if (res.writableNeedDrain) return 'wait';
-      if (spoilt.noFinish && index === finishAt) index += 1;
+      if (injected.noFinish && index === finishAt) index += 1;
       if (index < end) res.write(eventAt(completion, index));
       index += 1;
       if (index < end) return 'more';
-      streamOut(res, completion, spoilt);
+      endStream(res, completion, injected);
       return 'end';
     },
   };
 }
 
-/** The job of a whole answer: as many steps, then one body. */
-function wholeJob(
+/** Job of an unstreamed response: one step per token, then the complete body. */
+function bodyJob(
   serving: Serving,
   res: ServerResponse,
   opts: JobOptions,
 ): Pick<Job, 'begin' | 'step'> {
-  const spoilt = spoil(serving.faults);
-  let left = opts.completion.answer.tokens.length;
+  const injected = takeResponseFaults(serving.faults);
+  let remaining = opts.completion.answer.tokens.length;
   return {
     begin: () => undefined,
     step: () => {
-      left -= 1;
-      if (left > 0) return 'more';
-      const text = wholeAnswer(opts.completion);
-      const promised = Buffer.byteLength(text) + (spoilt.wrongLength ? 16 : 0);
-      const plain = !spoilt.truncate && !spoilt.duplicate;
+      remaining -= 1;
+      if (remaining > 0) return 'more';
+      const text = renderBody(opts.completion);
+      const contentLength = Buffer.byteLength(text) + (injected.wrongLength ? 16 : 0);
+      const isIntact = !injected.truncate && !injected.duplicate;
       writeHead(serving, res, opts, {
         'content-type': 'application/json',
-        ...(plain ? { 'content-length': promised } : {}),
+        ...(isIntact ? { 'content-length': contentLength } : {}),
       });
-      wholeOut(res, text, spoilt);
+      endBody(res, text, injected);
       return 'end';
     },
   };
@@ -186,9 +188,9 @@
 ): void {
   const { completion, cachedTokens, run } = opts;
   const streamed = completion.body.stream === true;
-  const work = (streamed ? streamJob : wholeJob)(serving, res, opts);
+  const work = (streamed ? streamJob : bodyJob)(serving, res, opts);
   const uncached = Math.max(0, completion.answer.promptTokens - cachedTokens);
-  let prefillLeft = opts.from > 0 ? 0 : Math.floor(uncached / PREFILL_TOKENS_PER_STEP);
+  let prefillSteps = opts.from > 0 ? 0 : Math.floor(uncached / PREFILL_TOKENS_PER_STEP);
   const job: Job = {
     priority: Number(headerOf(req, 'nutmegstack-priority') ?? 0),
     deadline: Number(headerOf(req, 'nutmegstack-deadline') ?? Infinity),
@@ -197,8 +199,8 @@
       work.begin();
     },
     step: () => {
-      if (prefillLeft > 0) {
-        prefillLeft -= 1;
+      if (prefillSteps > 0) {
+        prefillSteps -= 1;
         return 'more';
       }
       return work.step();
@@ -206,7 +208,7 @@
     expire: () => {
       refuse(res, 'deadline');
     },
-    tear: () => res.destroy(),
+    abort: () => res.destroy(),
   };
   res.on('close', () => {
     if (run !== undefined) run.end = Date.now();
@@ -219,7 +221,7 @@
   const { resumable } = serving;
   resumable.set(completion.attempt, completion);
   const [oldest] = resumable.keys();
-  if (resumable.size > RESUMABLE_KEPT && oldest !== undefined) resumable.delete(oldest);
+  if (resumable.size > MAX_RESUMABLE && oldest !== undefined) resumable.delete(oldest);
 }
 
 /** `POST /v1/chat/completions` and `POST /v1/completions`. */
@@ -228,15 +230,15 @@
   req: IncomingMessage,
   res: ServerResponse,
 ): Promise<void> {
-  // Refusals echo the attempt as well: on a shared connection nothing else tells whose they are.
+  // Refusals echo the attempt too: on a shared connection nothing else identifies their request.
   res.setHeader('nutmegstack-attempt', headerOf(req, 'nutmegstack-attempt') ?? 'none');
   const text = (await readBody(req)).toString('utf8');
-  if (!mayServe(serving, req, res)) return;
+  if (!admitRequest(serving, req, res)) return;
   const body = JSON.parse(text) as CompletionBody;
   const prompt = promptOf(body);
   if (takeOne(serving.faults, 'lateAnswers')) await sleep(serving.faults.lateMs ?? LATE_MS);
   const { holding } = serving.state();
-  if (!mayServe(serving, req, res) || holding === undefined) return;
+  if (!admitRequest(serving, req, res) || holding === undefined) return;
   const attempt = headerOf(req, 'nutmegstack-attempt') ?? 'none';
   const run = {
     attempt,
@@ -258,7 +260,7 @@
   submit(serving, req, res, { completion, from: 0, cachedTokens, run });
 }
 
-/** `POST /v1/resume`: goes on with a stream whose connection broke. */
+/** `POST /v1/resume`: continues an interrupted stream from event `from`. */
 export function serveResume(
   serving: Serving,
   req: IncomingMessage,
@@ -270,6 +272,6 @@
     sendJson(res, 404, { error: 'unknown-attempt' });
     return;
   }
-  if (!mayServe(serving, req, res)) return;
+  if (!admitRequest(serving, req, res)) return;
   submit(serving, req, res, { completion, from: body.from, cachedTokens: 0 });
 }
--- a/stand-ins/engine/engine.ts
+++ b/stand-ins/engine/engine.ts
@@ -1,4 +1,4 @@
-/** Several members in one process, entered in the platform's instance list. */
+/** Engine stand-in: several members in one process, registered in the platform's instance list. */
 
 import { brandAs } from '../../src/core/ids';
 import type { DomainId, InstanceId, ZoneId } from '../../src/core/ids';
@@ -9,16 +9,17 @@
 import { startMember } from './member';
 import type { EngineMember } from './member';
 
-const ENTER_RETRY_MS = 200;
+const REGISTER_RETRY_MS = 200;
 
+/** Options of `startEngine`. */
 export interface EngineOptions {
-  /** Address of the platform; without one the members enter no list and fetch no weights. */
+  /** Address of the platform; without one the members do not register and fetch no weights. */
   readonly platform?: string;
   readonly listenHost?: string;
   readonly members?: number;
   readonly domain?: string;
   readonly zone?: string;
-  /** Instances are called `{idPrefix}-{n}`. */
+  /** Instance ids are `{idPrefix}-{n}`. */
   readonly idPrefix?: string;
   readonly checksFencing?: boolean;
   /** Accelerators of each member. */
@@ -27,9 +28,9 @@
   readonly maxBatch?: number;
   readonly maxQueue?: number;
   readonly weightBytes?: number;
-  /** How old the reported load is, milliseconds. */
+  /** Staleness of the reported load, milliseconds. */
   readonly lagMs?: number;
-  /** How long a crashed member stays away, milliseconds. */
+  /** Time until a crashed member restarts, milliseconds. */
   readonly restartMs?: number;
   /** Interval of rank 0's heartbeat, milliseconds. */
   readonly beatMs?: number;
@@ -39,14 +40,14 @@
   readonly members: readonly EngineMember[];
 }
 
-interface Entering {
+interface Registration {
   readonly platform: string | undefined;
   readonly entry: InstanceEntry;
   readonly isOpen: () => boolean;
 }
 
-/** Puts the entry into the list; tries again until the platform takes it. */
-async function enterList({ platform, entry, isOpen }: Entering): Promise<void> {
+/** Registers an instance; retries until the platform accepts it or the engine closes. */
+async function register({ platform, entry, isOpen }: Registration): Promise<void> {
   if (platform === undefined) return;
   const path = `/instances/${encodeURIComponent(entry.id)}`;
   while (isOpen()) {
@@ -55,11 +56,11 @@
       () => false,
     );
     if (done) return;
-    await sleep(ENTER_RETRY_MS);
+    await sleep(REGISTER_RETRY_MS);
   }
 }
 
-async function leaveList(platform: string | undefined, id: InstanceId): Promise<void> {
+async function deregister(platform: string | undefined, id: InstanceId): Promise<void> {
   if (platform === undefined) return;
   const path = `/instances/${encodeURIComponent(id)}`;
   await callJson({ address: platform, method: 'DELETE', path, timeoutMs: 500 }).catch(
@@ -67,7 +68,7 @@
   );
 }
 
-/** Starts an engine of several members inside this process. */
+/** Starts an engine of several members in this process. */
 export async function startEngine({
   platform,
   listenHost = '127.0.0.1',
@@ -87,8 +88,8 @@
 }: EngineOptions = {}): Promise<EngineStandIn> {
   let open = true;
 
-  const enter = (id: InstanceId, address: string, leaving: boolean): Promise<void> =>
-    enterList({
+  const registerMember = (id: InstanceId, address: string, leaving: boolean): Promise<void> =>
+    register({
       platform,
       isOpen: () => open,
       entry: {
@@ -117,9 +118,9 @@
       lagMs,
       restartMs,
       beatMs,
-      onLeaving: (leaving) => void enter(id, member.address, leaving),
+      onLeaving: (leaving) => void registerMember(id, member.address, leaving),
     });
-    await enter(id, member.address, false);
+    await registerMember(id, member.address, false);
     return member;
   };
 
@@ -130,7 +131,7 @@
     close: async () => {
       open = false;
       await Promise.all(members.map((member) => member.close()));
-      await Promise.all(members.map(({ instance }) => leaveList(platform, instance)));
+      await Promise.all(members.map(({ instance }) => deregister(platform, instance)));
     },
   };
 }
--- a/stand-ins/engine/faults.ts
+++ b/stand-ins/engine/faults.ts
@@ -1,32 +1,33 @@
-/** Fault switches of an engine member. */
+/** Injected faults of an engine member. */
 
 import type { GateFaults } from '../shared/gate';
 
-/** Counts go down by one with each answer hit. */
+/** Each affected response decrements its counter. */
 export interface EngineFaults extends GateFaults {
-  /** Time of a step, milliseconds; makes the member a straggler. */
+  /** Duration of a step, milliseconds; a high value makes the member a straggler. */
   tokenMs?: number;
-  /** How old the load in the report is, milliseconds. */
+  /** Staleness of the reported load, milliseconds. */
   lagMs?: number;
+  /** Whether the member announces that it is leaving. */
   leaving?: boolean;
-  /** Crashes the member at once; it comes back after `restartMs`. */
+  /** Crashes the member immediately; it restarts after `restartMs`. */
   crash?: boolean;
   restartMs?: number;
   /** Whether streams can be resumed. */
   resumable?: boolean;
-  /** The next n answers start `lateMs` late. */
+  /** The next n responses are delayed by `lateMs`. */
   lateAnswers?: number;
   lateMs?: number;
-  /** The next n answers carry another attempt's id. */
+  /** The next n responses carry the id of another attempt. */
   wrongAttempt?: number;
-  /** The next n answers end cleanly halfway. */
+  /** The next n responses end halfway, without a connection error. */
   truncate?: number;
-  /** The next n streams have no finish reason. */
+  /** The next n streams lack the event with the finish reason. */
   noFinish?: number;
-  /** The next n answers come twice. */
+  /** The next n responses repeat their content. */
   duplicate?: number;
-  /** The next n whole answers promise more bytes than they bring; streams break before `[DONE]`. */
+  /** The next n bodies are shorter than their content-length; streams break before `[DONE]`. */
   wrongLength?: number;
-  /** The next n orders take effect; their connections are cut before the answer. */
+  /** The next n orders take effect; their connections are closed before the response. */
   loseOrderAnswers?: number;
 }
--- a/stand-ins/engine/heartbeat.ts
+++ b/stand-ins/engine/heartbeat.ts
@@ -1,21 +1,21 @@
-/** Rank 0's watch over the other members of its group. */
+/** Heartbeat of rank 0: polls the status of the other members of its group. */
 
 import type { EngineReport, Member } from '../../src/core/groups/types';
 import { callJson } from '../shared/client';
 import type { Holding } from './orders';
 
-/** How a member looks to rank 0. */
-export type MemberSight = 'serving' | 'not-yet' | 'gone' | 'silent';
+/** State of a member as rank 0 observes it. */
+export type ObservedState = 'serving' | 'not-yet' | 'gone' | 'silent';
 
-/** Beats of silence after which a member counts as gone. */
+/** Consecutive heartbeats without a response after which a member is treated as gone. */
 export const SILENT_BEATS = 6;
 
-/** Looks at one member. */
-export async function lookAt(
+/** Polls the status of one member. */
+export async function pollMember(
   member: Member,
   { group, epoch }: Holding,
   timeoutMs: number,
-): Promise<MemberSight> {
+): Promise<ObservedState> {
   try {
     const { status, body } = await callJson({
       address: member.address,
@@ -33,38 +33,41 @@
   }
 }
 
+/** Options of `startWatch`. */
 export interface WatchOptions {
   readonly beatMs: number;
-  /** The group to watch; none while not rank 0 of one. */
+  /** The group to watch; undefined unless this member is rank 0 of one. */
   readonly watched: () => Holding | undefined;
-  /** All others serve. */
-  readonly onWhole: (holding: Holding) => void;
-  /** One is gone, or silent for too long. */
+  /** All other members serve. */
+  readonly onAllServing: (holding: Holding) => void;
+  /** A member is gone, or did not respond to `SILENT_BEATS` heartbeats. */
   readonly onMissing: (holding: Holding) => void;
 }
 
-/** Starts the watch; returns the function that ends it. */
-export function startWatch({ beatMs, watched, onWhole, onMissing }: WatchOptions): () => void {
+/** Starts the heartbeat; returns the function that stops it. */
+export function startWatch({ beatMs, watched, onAllServing, onMissing }: WatchOptions): () => void {
   const silentBeats = new Map<string, number>();
   let timer: NodeJS.Timeout | undefined;
   let stopped = false;
 
-  const judge = (member: Member, sight: MemberSight): MemberSight => {
-    const beats = sight === 'silent' ? (silentBeats.get(member.instance) ?? 0) + 1 : 0;
+  const countSilence = (member: Member, state: ObservedState): ObservedState => {
+    const beats = state === 'silent' ? (silentBeats.get(member.instance) ?? 0) + 1 : 0;
     silentBeats.set(member.instance, beats);
-    return beats >= SILENT_BEATS ? 'gone' : sight;
+    return beats >= SILENT_BEATS ? 'gone' : state;
   };
 
   const beat = async (): Promise<void> => {
     const holding = watched();
     if (holding !== undefined) {
       const others = holding.members.filter((_, rank) => rank !== holding.rank);
-      const sights = await Promise.all(
-        others.map(async (member) => judge(member, await lookAt(member, holding, beatMs))),
+      const observed = await Promise.all(
+        others.map(async (member) =>
+          countSilence(member, await pollMember(member, holding, beatMs)),
+        ),
       );
       if (watched() === holding) {
-        if (sights.includes('gone')) onMissing(holding);
-        else if (sights.every((sight) => sight === 'serving')) onWhole(holding);
+        if (observed.includes('gone')) onMissing(holding);
+        else if (observed.every((state) => state === 'serving')) onAllServing(holding);
       }
     }
     schedule();
--- a/stand-ins/engine/load.ts
+++ b/stand-ins/engine/load.ts
@@ -1,4 +1,4 @@
-/** The load that a member reports, as it was some time ago. */
+/** History of the load of a member, so that it can be reported with a lag. */
 
 export interface Load {
   readonly inFlight: number;
@@ -9,10 +9,10 @@
   readonly at: number;
 }
 
-const SAMPLES_KEPT = 512;
+const MAX_SAMPLES = 512;
 
 export interface LaggingLoad {
-  /** Notes the load of this moment. */
+  /** Records the current load. */
   sample(load: Load): void;
   /** The load as of `instant`. */
   at(instant: number): Load;
@@ -23,7 +23,7 @@
   return {
     sample: ({ inFlight, queued }) => {
       samples.push({ inFlight, queued, at: Date.now() });
-      if (samples.length > SAMPLES_KEPT) samples = samples.slice(-SAMPLES_KEPT / 2);
+      if (samples.length > MAX_SAMPLES) samples = samples.slice(-MAX_SAMPLES / 2);
     },
     at: (instant) => samples.findLast(({ at }) => at <= instant) ?? { inFlight: 0, queued: 0 },
   };
--- a/stand-ins/engine/main.ts
+++ b/stand-ins/engine/main.ts
@@ -1,4 +1,4 @@
-/** The engine stand-in as a process. */
+/** Entry point of the engine stand-in. */
 
 import sade from 'sade';
 
--- a/stand-ins/engine/member.ts
+++ b/stand-ins/engine/member.ts
@@ -1,4 +1,4 @@
-/** One member: an HTTP server that takes orders, reports, and answers requests as rank 0. */
+/** An engine member: HTTP server for orders, status reports and, as rank 0, completions. */
 
 import { randomUUID } from 'node:crypto';
 import type { IncomingMessage, ServerResponse } from 'node:http';
@@ -22,7 +22,7 @@
 import { createRecord, recordHolding } from './record';
 import type { MemberRecord } from './record';
 
-const WEIGHTS_HELD = 2;
+const MAX_WEIGHTS = 2;
 const FETCH_RETRY_MS = 100;
 const FETCH_TIMEOUT_MS = 600_000;
 
@@ -39,7 +39,7 @@
   readonly lagMs: number;
   readonly restartMs: number;
   readonly beatMs: number;
-  /** The member wishes to leave, or no longer. */
+  /** Called when the member starts or stops leaving. */
   readonly onLeaving: (leaving: boolean) => void;
 }
 
@@ -54,11 +54,11 @@
 
 type Route = (req: IncomingMessage, res: ServerResponse) => void | Promise<void>;
 
-function firstState(): MemberState {
+function initialState(): MemberState {
   return { incarnation: randomUUID(), phase: 'idle', weights: [], fencing: 0, leaving: false };
 }
 
-/** Starts a member. */
+/** Starts a member; resolves once it listens. */
 export async function startMember(opts: MemberOptions): Promise<EngineMember> {
   const faults: EngineFaults = { tokenMs: opts.tokenMs, lagMs: opts.lagMs };
   const record = createRecord();
@@ -71,31 +71,31 @@
     tokenMs: () => faults.tokenMs ?? opts.tokenMs,
     faults,
   });
-  let state = firstState();
+  let state = initialState();
   let listening: Listening | undefined;
   let closed = false;
 
-  const become = (to: MemberState): void => {
+  const setState = (to: MemberState): void => {
     state = to;
     recordHolding(record, to.holding, Date.now());
   };
 
   const breakGroup = (): void => {
-    become({ ...state, phase: 'broken' });
-    batch.tearAll();
+    setState({ ...state, phase: 'broken' });
+    batch.abortAll();
   };
 
-  const goOn = (holding: Holding | undefined): void => {
+  const serveIfReady = (holding: Holding | undefined): void => {
     if (holding === undefined || state.holding !== holding || state.phase !== 'loading') return;
     const ready = state.weights.includes(holding.model);
     const alone = holding.members.length <= 1;
-    // Rank 0 serves once all others do; the watch tells it.
-    if (ready && (holding.rank !== 0 || alone)) become({ ...state, phase: 'serving' });
+    // Rank 0 serves once all others do, which its heartbeat finds out.
+    if (ready && (holding.rank !== 0 || alone)) setState({ ...state, phase: 'serving' });
   };
 
   const addWeights = (model: ModelId): void => {
     const weights = [...state.weights.filter((held) => held !== model), model];
-    become({ ...state, weights: weights.slice(-WEIGHTS_HELD) });
+    setState({ ...state, weights: weights.slice(-MAX_WEIGHTS) });
   };
 
   const fetchWeights = async (model: ModelId): Promise<void> => {
@@ -104,7 +104,7 @@
       if (await transferWeights(opts, model)) {
         await thawed(faults);
         if (state.incarnation === incarnation) addWeights(model);
-        goOn(holding);
+        serveIfReady(holding);
         return;
       }
       await sleep(FETCH_RETRY_MS);
@@ -115,10 +115,10 @@
     if (listening === undefined) return;
     const old = listening;
     listening = undefined;
-    batch.tearAll();
+    batch.abortAll();
     cache.clear();
     resumable.clear();
-    become(firstState());
+    setState(initialState());
     void old
       .close()
       .then(() => sleep(faults.restartMs ?? opts.restartMs))
@@ -152,10 +152,10 @@
     const result = applyOrder(state, body, { checksFencing: opts.checksFencing, inFlight, now });
     const { refused } = result;
     record.orders.push({ ...body, at: now, ...(refused === undefined ? {} : { refused }) });
-    become(result.state);
-    if (result.tear === true) batch.tearAll();
+    setState(result.state);
+    if (result.abortsRequests === true) batch.abortAll();
     if (result.fetch !== undefined) void fetchWeights(result.fetch);
-    goOn(state.holding);
+    serveIfReady(state.holding);
     if (takeOne(faults, 'loseOrderAnswers')) {
       req.socket.destroy();
       return;
@@ -168,7 +168,7 @@
     if (req.method === 'POST') Object.assign(faults, await readJson(req));
     const leaving = faults.leaving === true;
     if (leaving !== state.leaving) {
-      become({ ...state, leaving });
+      setState({ ...state, leaving });
       opts.onLeaving(leaving);
     }
     sendJson(res, 200, { faults });
@@ -203,7 +203,7 @@
     },
   };
 
-  /** Not subject to the switches. */
+  /** Not subject to injected faults. */
   const testRoutes: Readonly<Record<string, Route>> = {
     'GET /record': (_req, res) => {
       sendJson(res, 200, record);
@@ -230,9 +230,9 @@
   const stopWatch = startWatch({
     beatMs: opts.beatMs,
     watched: () => watchedBy(state, faults),
-    onWhole: (holding) => {
+    onAllServing: (holding) => {
       if (state.phase === 'loading' && state.weights.includes(holding.model)) {
-        become({ ...state, phase: 'serving' });
+        setState({ ...state, phase: 'serving' });
       }
     },
     onMissing: () => {
@@ -249,7 +249,7 @@
     close: async () => {
       closed = true;
       stopWatch();
-      batch.tearAll();
+      batch.abortAll();
       await listening?.close();
     },
   };
@@ -259,12 +259,13 @@
   return { group, epoch, rank, model };
 }
 
-/** The group whose other members this member watches. */
+/** The group that this member watches as rank 0. */
 function watchedBy({ phase, holding }: MemberState, faults: EngineFaults): Holding | undefined {
   if (faults.frozen === true || phase === 'broken' || holding === undefined) return undefined;
   return holding.rank === 0 && holding.members.length > 1 ? holding : undefined;
 }
 
+/** Fetches weights from the platform; false where the transfer failed. */
 async function transferWeights(opts: MemberOptions, model: ModelId): Promise<boolean> {
   if (opts.platform === undefined) return true;
   try {
--- a/stand-ins/engine/orders.ts
+++ b/stand-ins/engine/orders.ts
@@ -1,4 +1,4 @@
-/** What an order does to a member: a function of its state. */
+/** State transitions of a member on orders, as pure functions. */
 
 import type { EngineOrder, JoinOrder, OrderAuthority } from '../../src/ports/engine';
 import type { EngineState, Member } from '../../src/core/groups/types';
@@ -14,7 +14,7 @@
 }
 
 export interface MemberState {
-  /** Changes with each start. */
+  /** New with each start. */
   readonly incarnation: string;
   readonly phase: EngineState;
   readonly holding?: Holding;
@@ -27,26 +27,29 @@
 
 export type OrderRefusal = 'stale-fencing' | 'stale-epoch' | 'busy' | 'other-group' | 'late';
 
+/** Request body of `POST /orders`. */
 export interface OrderBody {
   readonly order: EngineOrder;
   readonly by: OrderAuthority;
 }
 
+/** What an order is checked against besides the state. */
 export interface OrderContext {
   readonly checksFencing: boolean;
-  /** Streams that run or wait at this moment. */
+  /** Requests running or queued. */
   readonly inFlight: number;
   /** Milliseconds since the Unix epoch. */
   readonly now: number;
 }
 
+/** The next state and what the member has to do. */
 export interface OrderResult {
   readonly state: MemberState;
   readonly refused?: OrderRefusal;
   /** Weights to fetch next. */
   readonly fetch?: ModelId;
-  /** Whether the streams in flight are torn. */
-  readonly tear?: boolean;
+  /** Whether the requests in flight are aborted. */
+  readonly abortsRequests?: boolean;
 }
 
 type OrderHandlers = {
@@ -65,16 +68,16 @@
   return phase === 'broken' || inFlight === 0;
 }
 
-function enter(state: MemberState, order: JoinOrder): OrderResult {
+function joinGroup(state: MemberState, order: JoinOrder): OrderResult {
   const { group, epoch, rank, model, members } = order;
   const holding = { group, epoch, rank, model, members };
-  const entered = { ...state, phase: 'loading' as const, holding };
+  const joined = { ...state, phase: 'loading' as const, holding };
   return state.weights.includes(model)
-    ? { state: entered, tear: true }
-    : { state: entered, tear: true, fetch: model };
+    ? { state: joined, abortsRequests: true }
+    : { state: joined, abortsRequests: true, fetch: model };
 }
 
-/** Refusals that drain and release share. */
+/** Checks common to drain and release. */
 function refusalOf(state: MemberState, group: GroupId, epoch: Epoch): OrderRefusal | undefined {
   if (state.holding === undefined) return undefined;
   if (state.holding.group !== group) return 'other-group';
@@ -84,13 +87,13 @@
 const ORDER_HANDLERS: OrderHandlers = {
   join: (state, order, ctx) => {
     const held = state.holding;
-    if (held === undefined) return enter(state, order);
+    if (held === undefined) return joinGroup(state, order);
     if (held.group !== order.group) {
-      return ctx.checksFencing ? refuse(state, 'other-group') : enter(state, order);
+      return ctx.checksFencing ? refuse(state, 'other-group') : joinGroup(state, order);
     }
     if (order.epoch < held.epoch) return refuse(state, 'stale-epoch');
     if (order.epoch === held.epoch && state.phase !== 'broken') return { state };
-    return isFree(state, ctx) ? enter(state, order) : refuse(state, 'busy');
+    return isFree(state, ctx) ? joinGroup(state, order) : refuse(state, 'busy');
   },
   drain: (state, { group, epoch }) => {
     const refused = refusalOf(state, group, epoch);
@@ -118,7 +121,7 @@
   return by.fencing < state.fencing ? 'stale-fencing' : undefined;
 }
 
-/** Applies an order, or says why not. */
+/** Applies an order, or returns the unchanged state with the reason of the refusal. */
 export function applyOrder(
   state: MemberState,
   { order, by }: OrderBody,
--- a/stand-ins/engine/record.ts
+++ b/stand-ins/engine/record.ts
@@ -1,12 +1,14 @@
-/** What a member did, for the oracles of tests. The daemons never read it. */
+/** History of a member for assertions in tests. The daemons never read it. */
 
 import type { Holding, OrderBody, OrderRefusal } from './orders';
 
+/** An order that was received. */
 export interface OrderEntry extends OrderBody {
   readonly at: number;
   readonly refused?: OrderRefusal;
 }
 
+/** A request that was executed. */
 export interface RunEntry {
   readonly attempt: string;
   /** Hash of path and body. */
@@ -18,6 +20,7 @@
   end?: number;
 }
 
+/** A span during which the member belonged to a group; `to` is absent while it lasts. */
 export interface HeldEntry {
   readonly group: string;
   readonly epoch: number;
@@ -35,7 +38,7 @@
   return { orders: [], runs: [], heldBy: [] };
 }
 
-/** Notes that the member is now held so; ends the entry before. */
+/** Records the current group of the member; closes the previous entry where it changed. */
 export function recordHolding(
   record: MemberRecord,
   holding: Holding | undefined,
--- a/stand-ins/engine/wire.ts
+++ b/stand-ins/engine/wire.ts
@@ -1,9 +1,9 @@
-/** The published wire shapes of completions: events of a stream, and whole answers. */
+/** Wire format of completions: stream events and complete bodies. */
 
 import { answerOf } from './answer';
 import type { Answer, CompletionBody } from './answer';
 
-/** One request as it is being answered. Event `i` of its stream is always the same. */
+/** A completion being sent. Its events are deterministic, so that a stream can be resumed. */
 export interface Completion {
   readonly attempt: string;
   readonly chat: boolean;
@@ -57,7 +57,7 @@
   return body.stream_options?.include_usage === true;
 }
 
-/** Events of the stream before `[DONE]`: one a token, the finish reason, usage where asked. */
+/** Number of events before `[DONE]`: one per token, finish reason, usage where requested. */
 export function eventCount(completion: Completion): number {
   return completion.answer.tokens.length + 1 + (wantsUsage(completion) ? 1 : 0);
 }
@@ -76,8 +76,8 @@
   return event({ ...head, choices: [], usage: usage(completion) });
 }
 
-/** The whole answer in one body. */
-export function wholeAnswer(completion: Completion): string {
+/** The body of an unstreamed response. */
+export function renderBody(completion: Completion): string {
   const { chat, answer } = completion;
   const text = answer.tokens.join('');
   const part = chat ? { message: { role: 'assistant', content: text, refusal: null } } : { text };
--- a/tests/stand-ins-engine.test.ts
+++ b/tests/stand-ins-engine.test.ts
@@ -96,7 +96,7 @@
     });
   });
 
-  it('with an old fencing number are refused where it is checked', async () => {
+  it('with a stale fencing number are refused where it is checked', async () => {
     await order(0, join(0), 5);
     const refused = await order(0, { kind: 'release', group: 'g', epoch: 1 }, 4);
     expect(refused).toEqual({ status: 409, body: { error: 'stale-fencing' } });
@@ -105,13 +105,13 @@
     });
   });
 
-  it('with an old fencing number are obeyed where it is ignored', async () => {
+  it('with a stale fencing number are applied where it is not checked', async () => {
     await restart({ checksFencing: false });
     await order(0, join(0), 5);
     expect((await order(0, join(0, 'other'), 4, 1)).body).toMatchObject({ group: 'other' });
   });
 
-  it('of another group or an old epoch are refused', async () => {
+  it('of another group or a stale epoch are refused', async () => {
     await order(0, join(0, 'g', 2));
     expect((await order(0, join(0, 'h', 3))).body).toEqual({ error: 'other-group' });
     expect((await order(0, join(0, 'g', 1))).body).toEqual({ error: 'stale-epoch' });
@@ -129,13 +129,13 @@
     });
   });
 
-  it('take effect although their answers are lost', async () => {
+  it('take effect although their responses are lost', async () => {
     await setFaults(1, { loseOrderAnswers: 1 });
     await expect(order(1, join(1))).rejects.toThrow();
     expect(at(1).state().holding?.group).toBe('g');
   });
 
-  it('are recorded with what became of them', async () => {
+  it('are recorded with their outcome', async () => {
     await order(0, join(0));
     await order(0, join(0, 'h'));
     expect(at(0).record.orders.map(({ refused }) => refused)).toEqual([undefined, 'other-group']);
@@ -144,7 +144,7 @@
 });
 
 describe('a group', () => {
-  it('breaks and tears its streams when a member crashes', async () => {
+  it('breaks and aborts its streams when a member crashes', async () => {
     await form();
     await setFaults(0, { tokenMs: 20 });
     const answer = await chat({ ...prompt('tokens=5000'), stream: true });
@@ -181,7 +181,7 @@
 describe('an answer', () => {
   beforeEach(form);
 
-  it('is whole and a function of the prompt', async () => {
+  it('is complete and a function of the prompt', async () => {
     const res = await chat();
     expect(res.headers.get('nutmegstack-attempt')).toBe('a1');
     expect(await res.json()).toMatchObject({
@@ -197,13 +197,13 @@
     expect(events.at(-1)).toBe('data: [DONE]');
   });
 
-  it('is refused for another epoch, not run', async () => {
+  it('is refused for another epoch without being executed', async () => {
     const res = await chat(CHAT, 'a1', 2);
     expect(res.status).toBe(409);
     expect(at(0).record.runs).toEqual([]);
   });
 
-  it('goes on from a chunk after its connection broke', async () => {
+  it('resumes from an event after its connection broke', async () => {
     const body = { ...CHAT, stream: true };
     const whole = eventsOf(await (await chat(body)).text());
     const rest = await fetch(`http://${at(0).address}/v1/resume`, {
@@ -214,7 +214,7 @@
     expect(eventsOf(await rest.text())).toEqual(whole.slice(3));
   });
 
-  it('is cancelled when the caller goes away', async () => {
+  it('is cancelled when the client disconnects', async () => {
     await setFaults(0, { tokenMs: 20 });
     const res = await chat({ ...prompt('tokens=5000'), stream: true });
     await res.body?.cancel();
@@ -227,24 +227,24 @@
     ['truncate', (text: string) => !text.includes('[DONE]')],
     ['noFinish', (text: string) => !text.includes('"finish_reason":"stop"')],
     ['duplicate', (text: string) => text.split('[DONE]').length === 3],
-  ] as const)('is spoilt by %s once', async (fault, isSpoilt) => {
+  ] as const)('is corrupted by %s once', async (fault, isCorrupted) => {
     await setFaults(0, { [fault]: 1 });
     const body = { ...CHAT, stream: true };
-    expect(isSpoilt(await (await chat(body)).text())).toBe(true);
-    expect(isSpoilt(await (await chat(body)).text())).toBe(false);
+    expect(isCorrupted(await (await chat(body)).text())).toBe(true);
+    expect(isCorrupted(await (await chat(body)).text())).toBe(false);
   });
 
-  it('carries another attempt where it is told to', async () => {
+  it('carries another attempt under the wrongAttempt fault', async () => {
     await setFaults(0, { wrongAttempt: 1 });
     expect((await chat()).headers.get('nutmegstack-attempt')).toBe('a1-other');
   });
 
-  it('breaks when it promised more bytes than it brings', async () => {
+  it('fails when it is shorter than its content-length', async () => {
     await setFaults(0, { wrongLength: 1 });
     await expect(chat().then((res) => res.text())).rejects.toThrow();
   });
 
-  it('reports the cached share of its prompt, apart for each salt', async () => {
+  it('reports the cached tokens of its prompt, separately for each salt', async () => {
     const body = prompt('x'.repeat(1000));
     const cached = async (salt: string): Promise<number> => {
       const res = await fetch(`http://${at(0).address}/v1/chat/completions`, {
@@ -261,7 +261,7 @@
 });
 
 describe('a batch', () => {
-  it('runs higher priorities first and refuses beyond its queue', async () => {
+  it('runs higher priorities first and refuses when its queue is full', async () => {
     await restart({ maxBatch: 1, maxQueue: 2, tokenMs: 5 });
     await form();
     const queued = async (count: number): Promise<void> => {
