--- a/stand-ins/users-platform/document.ts
+++ b/stand-ins/users-platform/document.ts
@@ -1,4 +1,4 @@
-/** The operator's document, as the stand-in's operator writes it. */
+/** Builds the operator's configuration document for the users' platform stand-in. */
 
 import type { EngineSpec } from '../../src/core/gateway/types';
 import { LLM_SERVICE, PLAIN_SERVICE } from './start';
@@ -17,7 +17,7 @@
 
 const HOST_NAME = 'a.example';
 
-/** A route to `service` below `/name/`. */
+/** A route from `/name/` to `service`. */
 export function describeRoute(
   name: string,
   kind: 'safe' | 'unsafe' | 'streaming',
@@ -38,7 +38,7 @@
   };
 }
 
-/** A resumable stream, a safe and an unsafe call. */
+/** Default routes: a resumable stream, a safe and an unsafe call. */
 export const USUAL_ROUTES: readonly object[] = [
   describeRoute('stream', 'streaming', LLM_SERVICE, { resumable: true, maxGapMs: 250 }),
   describeRoute('safe', 'safe', PLAIN_SERVICE),
@@ -67,6 +67,7 @@
   };
 }
 
+/** The complete document, with one LLM and one plain service. */
 export function describeConfig({
   version,
   routes,
--- a/stand-ins/users-platform/engines.ts
+++ b/stand-ins/users-platform/engines.ts
@@ -1,8 +1,8 @@
 /**
- * Domains of engine servers as the users' platform describes them: joins, opens, loads, stalls. Time
- * passes only by `advance`, so that tests run it in simulated time and the emulator in real time. It
- * keeps two promises under watch: no group serves with a member that was never ready in it, and no
- * server joins another group while its own group's head may serve.
+ * Simulates domains of engine servers by the users' platform's rules: joins, opens, loads, stalls.
+ * Time passes only by `advance`, so that tests run in simulated time and the emulator in real time.
+ * Checks two invariants: no group serves with a member that was never ready in it, and no server
+ * joins another group while the head of its own group may serve.
  */
 
 import type { OrderResult, ServerOrder } from '../../src/core/gateway/orders';
@@ -23,9 +23,10 @@
 const STALL_MS = 6_000;
 const FORM_MS = 300;
 const REJOIN_MS = 200;
-/** A silent server's row is removed after three of its heartbeats. */
+/** The row of a silent server is removed after three missed heartbeats. */
 const LAPSE_MS = 3_600;
 
+/** The group that a server joined. */
 interface Joined {
   readonly group: string;
   readonly epoch: number;
@@ -34,22 +35,22 @@
   state: MemberState;
   readyAt: number;
   openAt: number | undefined;
-  /** Since when the head waits for a lost member. */
+  /** When the head began to wait for a lost member. */
   stalledAt: number | undefined;
 }
 
 interface SimServer {
   readonly id: InstanceId;
   readonly name: ServerName;
-  /** When this life began. */
+  /** Start of this incarnation. */
   readonly startedAt: EpochTime;
   readonly address: string;
   readonly domain: DomainId;
   isAlive: boolean;
   diedAt: number;
-  /** What its row shows; rows of the dead stay until they lapse. */
+  /** What its row contains; rows of dead servers remain until they lapse. */
   shown: Joined | undefined;
-  /** Lives, but orders do not reach it and its row lapses. */
+  /** Alive but partitioned: orders do not reach it and its row lapses. */
   isCut: boolean;
   cutAt: number;
   isDraining: boolean;
@@ -59,24 +60,26 @@
   highestEpoch: number;
 }
 
-interface Late {
+/** A delayed order. */
+interface LateOrder {
   readonly at: number;
   readonly server: InstanceId;
   readonly order: ServerOrder;
 }
 
+/** Options of `createEngineFleet`. */
 export interface EngineFleetOptions {
   readonly engine: EngineSpec;
   readonly service: ServiceId;
   /** Servers of each domain. */
   readonly domains: readonly number[];
-  /** Before the first request loads take a tenth of the time. */
+  /** False: loads take a tenth of their time until `beginTraffic`. */
   readonly hasTraffic: boolean;
-  /** Where the server with this number listens. */
+  /** Address of the n-th server. */
   readonly addressOf?: (n: number) => string;
 }
 
-/** The promises that were broken, in words. */
+/** Message about a violated invariant. */
 export type Violation = string;
 
 export function createEngineFleet({
@@ -89,14 +92,14 @@
   let hasTraffic = startsWithTraffic;
   const servers = new Map<InstanceId, SimServer>();
   const everReady = new Set<string>();
-  const late: Late[] = [];
+  const late: LateOrder[] = [];
   const violations: Violation[] = [];
   let now = 0;
   let loads = 0;
   let nextId = 0;
   let isOrderLate = false;
 
-  /** Lives that a restart ended, as their rows stood last. */
+  /** Last rows of incarnations that a restart ended. */
   const ended = new Map<InstanceId, BackendServer>();
 
   const add = (domain: string): InstanceId => {
@@ -105,7 +108,7 @@
     return begin(name, addressOf(n), brandAs<DomainId>(domain));
   };
 
-  /** Begins a life of a server; its id is the one that the platform's adapter gives it. */
+  /** Starts an incarnation of a server, with the id that the platform's adapter derives for it. */
   const begin = (name: ServerName, address: string, domain: DomainId): InstanceId => {
     const startedAt = brandAs<EpochTime>(Math.round(now));
     const id = toInstanceId(name, startedAt);
@@ -141,7 +144,7 @@
   const isIn = (server: SimServer | undefined, group: string, epoch: number): boolean =>
     server?.isAlive === true && server.joined?.group === group && server.joined.epoch === epoch;
 
-  /** Whether the head of the server's group could still serve, or waits for a lost member. */
+  /** Whether the head of the server's group may still serve, or waits for a lost member. */
   const mayHeadServe = (server: SimServer): boolean => {
     const { joined } = server;
     if (!joined) return false;
@@ -221,7 +224,7 @@
     return handlers[order.kind](server, order as never);
   };
 
-  /** Takes an order; late ones are carried out seconds afterwards and answered by nothing. */
+  /** Accepts an order. Late ones are executed after `lateMs`, and their result stays `unknown`. */
   const take = ({ server, order }: OrderEffect, lateMs: number): OrderResult => {
     const target = servers.get(server.id);
     if (!target?.isAlive || target.isCut) return 'unknown';
@@ -230,7 +233,7 @@
     return 'unknown';
   };
 
-  const isWhole = ({ group, epoch, members }: Joined): boolean =>
+  const areMembersPresent = ({ group, epoch, members }: Joined): boolean =>
     members.every((id) => isIn(servers.get(id), group, epoch));
 
   const advanceServer = (server: SimServer): void => {
@@ -248,7 +251,7 @@
     }
     if (joined.state !== 'open') return;
     checkServing(server, joined);
-    if (isWhole(joined)) joined.stalledAt = undefined;
+    if (areMembersPresent(joined)) joined.stalledAt = undefined;
     else joined.stalledAt ??= now;
     if (joined.stalledAt !== undefined && now >= joined.stalledAt + STALL_MS)
       joined.state = 'broken';
@@ -272,7 +275,7 @@
     }
   };
 
-  /** The servers as their rows show them. */
+  /** The servers as listed in the servers table. */
   const rows = (): Map<InstanceId, BackendServer> => {
     const shown = [...servers.values()].filter((server) => {
       if (!server.isAlive) return now < server.diedAt + LAPSE_MS;
@@ -281,7 +284,7 @@
     return new Map(shown.map((server) => [server.id, toRow(server)]));
   };
 
-  /** Those that rows no longer show, as they last stood there. */
+  /** Servers whose rows lapsed, with their last rows. */
   const lapsed = (): Map<InstanceId, BackendServer> => {
     const listed = rows();
     const missing = [...servers.values()].filter(({ id }) => !listed.has(id));
@@ -313,7 +316,7 @@
     };
   };
 
-  /** Members that give no report, of groups that stood still for half a second or whose entries have gone. */
+  /** Members that do not report, of groups stalled for 500 ms, and dead servers whose rows lapsed. */
   const stalled = (): InstanceId[] =>
     [...servers.values()].flatMap(({ joined, isAlive, shown, diedAt, id }) => {
       if (!isAlive && shown && now >= diedAt + LAPSE_MS) return [id];
@@ -324,19 +327,19 @@
       });
     });
 
-  /** The server starts again under its name and holds nothing of before; its host keeps what is staged. */
+  /** Restarts a server under its name; only the staged model survives, since its host keeps it. */
   const restart = (id: InstanceId): InstanceId => {
-    const before = servers.get(id);
-    if (!before) throw new Error(`no server ${id}`);
-    ended.set(id, toRow(before));
+    const previous = servers.get(id);
+    if (!previous) throw new Error(`no server ${id}`);
+    ended.set(id, toRow(previous));
     servers.delete(id);
-    const next = begin(before.name, before.address, before.domain);
-    const life = servers.get(next);
-    if (life) life.staged = before.staged;
+    const next = begin(previous.name, previous.address, previous.domain);
+    const restarted = servers.get(next);
+    if (restarted) restarted.staged = previous.staged;
     return next;
   };
 
-  /** The present life of the server with this name. */
+  /** The current incarnation of the server with this name. */
   const named = (name: ServerName): SimServer | undefined =>
     [...servers.values()].find((server) => server.name === name);
 
@@ -353,7 +356,7 @@
     lapsed,
     carryOut,
     stalled,
-    /** Callers come from now on: loads take their full time. */
+    /** Traffic begins: loads take their full time from now on. */
     beginTraffic: (): void => {
       hasTraffic = true;
     },
@@ -379,7 +382,7 @@
     setLate: (isLate: boolean) => {
       isOrderLate = isLate;
     },
-    /** Groups that serve, by model. */
+    /** Number of groups that serve a model. */
     serving: (model: ModelId): number =>
       [...servers.values()].filter(({ isAlive, joined }) => {
         const isServing = joined?.state === 'open' && joined.stalledAt === undefined;
--- a/stand-ins/users-platform/servers.ts
+++ b/stand-ins/users-platform/servers.ts
@@ -1,4 +1,4 @@
-/** Engine servers and plain servers over HTTP, with a record of what truly ran. */
+/** HTTP servers of the engine and plain stand-ins, with a record of every executed request. */
 
 import { createServer } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
@@ -12,7 +12,7 @@
 import type { Statements } from './statements';
 import { decodeOrder, ORDER_STATUS } from './wire';
 
-/** One request that a server began to run. */
+/** A request that a server began to execute. */
 export interface Run {
   readonly server: ServerName;
   readonly requestId: string;
@@ -23,17 +23,18 @@
   readonly lastEventId: string | undefined;
 }
 
-/** What the caller gets signed: enough to tell whose answer it is. */
+/** Signature header of a response: identifies the server and the request. */
 export function signatureOf(server: string, requestId: string): string {
   return `${server}.${requestId}`;
 }
 
+/** Injected faults of the plain servers, as remaining counts. */
 export interface PlainFaults {
-  /** Answers still to be cut in the middle. */
+  /** Responses to break off halfway. */
   cutAnswers: number;
-  /** Answers still to be failed with a 500. */
+  /** Responses to send as a 500. */
   failAnswers: number;
-  /** Requests still to be refused without having run. */
+  /** Requests to refuse without executing them. */
   refuse: number;
 }
 
@@ -62,7 +63,8 @@
   };
 }
 
-function isMeant(id: ServerName, req: IncomingMessage, res: ServerResponse): boolean {
+/** Whether the request expects this server; responds 421 otherwise. */
+function isAddressee(id: ServerName, req: IncomingMessage, res: ServerResponse): boolean {
   const expected = header(req, HEADERS.expectInstance);
   if (expected === undefined || expected === id) return true;
   res.writeHead(421).end();
@@ -73,14 +75,14 @@
   await new Promise<void>((resolve) => server.listen(port, host, resolve));
 }
 
-/** The members of a join are named on the wire; the fleet knows them by their present lives. */
-function toLives(fleet: EngineFleet, order: ServerOrder): ServerOrder {
+/** Replaces the server names in a join by the ids of their current incarnations. */
+function resolveMembers(fleet: EngineFleet, order: ServerOrder): ServerOrder {
   if (order.kind !== 'join') return order;
   const members = order.members.map((name) => fleet.named(toServerName(name))?.id ?? name);
   return { ...order, members };
 }
 
-/** Starts the engine server of this name; it serves streams while its group is open and whole. */
+/** Starts an engine server; it serves streams while its group is open and complete. */
 export async function startEngine(
   fleet: EngineFleet,
   name: ServerName,
@@ -96,7 +98,7 @@
       return;
     }
     const id = state()?.id;
-    const result = id === undefined ? 'unknown' : fleet.carryOut(id, toLives(fleet, order));
+    const result = id === undefined ? 'unknown' : fleet.carryOut(id, resolveMembers(fleet, order));
     res.writeHead(ORDER_STATUS[result]).end();
   };
 
@@ -106,7 +108,7 @@
     res.writeHead(200, { 'Content-Type': 'application/json' }).end(JSON.stringify(body));
   };
 
-  /** Events 1 to `count`, from after the last one that the caller has; silent while the group stands still. */
+  /** Streams events up to `count` from after `Last-Event-Id`; pauses while the group is stalled. */
   const stream = async (req: IncomingMessage, res: ServerResponse): Promise<void> => {
     const body = await readBody(req);
     const run = runOf(name, req, body);
@@ -136,8 +138,8 @@
 
   const server = createServer((req, res) => {
     const isAlive = state()?.isAlive === true;
-    // A machine without power answers nothing.
-    if (!isAlive || !isMeant(name, req, res)) return;
+    // A dead instance does not respond at all.
+    if (!isAlive || !isAddressee(name, req, res)) return;
     if (req.url === PATHS.order) void takeOrder(req, res);
     else if (req.url === PATHS.report) report(res);
     else if (statements.meet(name, req, res) === 'turned-away') return;
@@ -152,7 +154,7 @@
   };
 }
 
-/** Starts a plain server that answers every call with its own body. */
+/** Starts a plain server that responds with the request id and the request body. */
 export async function startPlain(
   name: string,
   address: string,
@@ -167,7 +169,7 @@
     return true;
   };
   const server = createServer((req, res) => {
-    if (!isMeant(id, req, res) || statements.meet(id, req, res) === 'turned-away') return;
+    if (!isAddressee(id, req, res) || statements.meet(id, req, res) === 'turned-away') return;
     void readBody(req).then((body) => {
       if (take('refuse')) {
         res.writeHead(503, { [HEADERS.notExecuted]: '1' }).end();
--- a/stand-ins/users-platform/start.ts
+++ b/stand-ins/users-platform/start.ts
@@ -1,4 +1,4 @@
-/** The whole platform on loopback, in real time: store, engines, plain servers, and an operator's hand. */
+/** The users' platform in real time: store, engine servers, plain servers and operator actions. */
 
 import { CONFIG_KEY, TABLES } from '../../platform/names';
 import type { EngineSpec } from '../../src/core/gateway/types';
@@ -17,12 +17,12 @@
 
 export interface PlatformOptions {
   readonly host: string;
-  /** First of as many ports as there are servers, and one. */
+  /** Port of the store; every server takes one of the ports that follow. */
   readonly firstPort: number;
   readonly engine: EngineSpec;
   readonly domains: readonly number[];
   readonly plainServers: number;
-  /** Where callers find the server that listens at `address`; a proxy, for instance. */
+  /** Maps the listen address of a server to the published one, for instance that of a proxy. */
   readonly publishedAddress?: (address: string) => string;
 }
 
@@ -32,24 +32,24 @@
   readonly plainFaults: PlainFaults;
   readonly statements: Statements;
   readonly plainServers: readonly ServerName[];
-  /** Every request that a server began to run. */
+  /** Every request that a server began to execute. */
   readonly runs: readonly Run[];
   readonly storeAddress: string;
-  /** Writes a configuration as the operator does. */
+  /** Writes the configuration document as the operator. */
   configure(document: object): void;
   /**
-   * The store is away for `awayMs` and comes back from a copy that is then `copyAgeMs` old. The operator and
-   * the servers write again what they wrote since.
+   * The store is down for `awayMs`, then returns from a copy that is `copyAgeMs` old by then. The
+   * operator and the servers write their rows again afterwards.
    */
   returnStore(options: { readonly awayMs: number; readonly copyAgeMs: number }): Promise<void>;
-  /** Starts a further engine server in a domain. */
+  /** Starts another engine server in a domain. */
   addEngine(domain: string): Promise<void>;
   close(): void;
 }
 
 const TICK_MS = 20;
-/** Servers and the operator have written again so long after the store's return. */
-const WRITTEN_AGAIN_MS = 1_500;
+/** Time from the store's return until servers and operator write their rows again. */
+const REWRITE_DELAY_MS = 1_500;
 export const LLM_SERVICE = brandAs<ServiceId>('llm');
 export const PLAIN_SERVICE = brandAs<ServiceId>('ledger');
 
@@ -89,8 +89,8 @@
   }
 
   const shown = new Map<ServerName, string>();
-  /** How often each server has written of itself. */
-  const written = new Map<ServerName, number>();
+  /** Last sequence number that each server wrote into its row. */
+  const sequences = new Map<ServerName, number>();
   let document: object | undefined;
   const publish = (): void => {
     const rows = new Map([...fleet.rows().values()].map((row) => [row.name, row]));
@@ -104,8 +104,8 @@
       const text = JSON.stringify(encodeRow({ ...server, address }));
       if (shown.get(name) === text) continue;
       shown.set(name, text);
-      const sequence = (written.get(name) ?? 0) + 1;
-      written.set(name, sequence);
+      const sequence = (sequences.get(name) ?? 0) + 1;
+      sequences.set(name, sequence);
       store.put(TABLES.servers, name, { ...(JSON.parse(text) as object), sequence });
     }
   };
@@ -134,7 +134,7 @@
       await pause(awayMs);
       store.restore(copyAgeMs);
       store.faults.isDown = false;
-      await pause(WRITTEN_AGAIN_MS);
+      await pause(REWRITE_DELAY_MS);
       shown.clear();
       for (const [name, row] of plainRows) store.put(TABLES.servers, name, row);
       if (document) store.put(TABLES.operator, CONFIG_KEY, document);
--- a/stand-ins/users-platform/statements.ts
+++ b/stand-ins/users-platform/statements.ts
@@ -1,11 +1,11 @@
-/** What the stand-in's servers say of themselves in their answers, and a record of the requests that reached them. */
+/** Response headers in which servers report about themselves, and a record of received requests. */
 
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
 import { HEADERS } from '../../platform/names';
 import type { ServerName } from '../../src/core/ids';
 
-/** A request as it reached a server, whether it ran there or not. */
+/** A request that a server received, executed or not. */
 export interface Arrival {
   readonly server: ServerName;
   readonly requestId: string;
@@ -14,12 +14,12 @@
 }
 
 export interface Statements {
-  /** By server: headers that it adds to all its answers. */
+  /** Headers that a server adds to all its responses. */
   readonly says: Map<ServerName, Readonly<Record<string, string>>>;
-  /** Servers that turn every request away, as not run. */
+  /** Servers that reject every request as not executed. */
   readonly shedding: Set<ServerName>;
   readonly arrivals: readonly Arrival[];
-  /** Records a request, and answers it where the server turns it away. */
+  /** Records a request; sends the rejection where the server sheds load. */
   meet(server: ServerName, req: IncomingMessage, res: ServerResponse): 'taken' | 'turned-away';
 }
 
--- a/stand-ins/users-platform/store.ts
+++ b/stand-ins/users-platform/store.ts
@@ -1,4 +1,4 @@
-/** The platform's store: rows with conditions, and feeds of their changes. Faults by switches. */
+/** Stand-in for the platform's store: conditional transactions, change feeds and fault injection. */
 
 import { createServer } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
@@ -15,45 +15,45 @@
   readonly rowVersion: number;
 }
 
-const place = { table: z.string(), part: z.string(), key: z.string() };
+const rowKey = { table: z.string(), part: z.string(), key: z.string() };
 const transactionSchema = z.object({
-  precondition: z.array(z.object({ ...place, rowVersion: z.number() })),
-  writes: z.array(z.object({ ...place, value: z.string() })),
-  remove: z.array(z.object(place)),
+  precondition: z.array(z.object({ ...rowKey, rowVersion: z.number() })),
+  writes: z.array(z.object({ ...rowKey, value: z.string() })),
+  remove: z.array(z.object(rowKey)),
 });
 
-/** The store as it was at an instant, for a return from an older copy. */
+/** Snapshot of the store, for a restore from an older copy. */
 interface StoreCopy {
   readonly at: number;
   readonly rows: ReadonlyMap<string, StoredRow>;
   readonly version: number;
 }
 
-/** Copies are kept for so long, milliseconds. */
+/** Retention of snapshots, milliseconds. */
 const COPIES_KEPT_MS = 20_000;
 
-/** Faults that tests switch on and off. */
+/** Injected faults. */
 export interface StoreFaults {
-  /** Every call is answered 503, nothing done. */
+  /** Respond 503 to every call without processing it. */
   isDown: boolean;
-  /** Calls are taken and never answered. */
+  /** Accept calls without ever responding. */
   isSilent: boolean;
-  /** Writes are done and their connections cut. */
+  /** Commit transactions, then close their connections without a response. */
   losesAnswers: boolean;
 }
 
 export interface StoreStandIn {
   readonly faults: StoreFaults;
-  /** Writes as the operator and the servers do. */
+  /** Writes a row unconditionally, as operator and servers do. */
   put(table: string, key: string, value: unknown): void;
   remove(table: string, key: string): void;
   get(table: string, key: string): unknown;
-  /** Forgets what changed: feeds have to load anew. */
+  /** Drops the change history: feeds respond 410 and have to reload. */
   compact(): void;
-  /** Comes back from a copy that is `ageMs` old, in the next era; what was written since is gone. */
+  /** Restores a copy that is `ageMs` old and starts the next era; later writes are lost. */
   restore(ageMs: number): void;
   era(): number;
-  /** Calls so far, by path. */
+  /** Number of calls by path. */
   readonly calls: ReadonlyMap<string, number>;
   close(): void;
 }
--- a/stand-ins/users-platform/wire.ts
+++ b/stand-ins/users-platform/wire.ts
@@ -1,4 +1,4 @@
-/** What engine and plain servers put on the wire: rows, orders, and answers. */
+/** Wire format of the users' platform: server rows, orders and their status codes. */
 
 import type { ServerOrder } from '../../src/core/gateway/orders';
 import type { BackendServer } from '../../src/core/gateway/types';
@@ -6,7 +6,7 @@
 import type { Epoch, GroupId, InstanceId, ModelId } from '../../src/core/ids';
 import * as z from 'zod';
 
-/** The row of a server in the list of servers. */
+/** Encodes the row of a server in the servers table. */
 export function encodeRow(server: BackendServer): object {
   const { service, address, zone, isDraining, batchSize, domain, staged, model, membership } =
     server;
@@ -57,18 +57,19 @@
   z.object({ operation: z.literal('stage'), model }),
 ]);
 
-/** The order in a body; undefined where it is none. */
+/** Decodes the order in a request body; undefined where it is invalid. */
 export function decodeOrder(body: unknown): ServerOrder | undefined {
-  const read = orderSchema.safeParse(body).data;
-  if (!read) return undefined;
-  if (read.operation === 'close') {
-    const { operation: kind, mode, ...rest } = read;
+  const parsed = orderSchema.safeParse(body).data;
+  if (!parsed) return undefined;
+  if (parsed.operation === 'close') {
+    const { operation: kind, mode, ...rest } = parsed;
     return { kind, ...rest, mode: mode === 'queue' ? 'finish' : 'abort' };
   }
-  const { operation: kind, ...rest } = read;
+  const { operation: kind, ...rest } = parsed;
   return { kind, ...rest } as ServerOrder;
 }
 
+/** HTTP status by result of an order. */
 export const ORDER_STATUS = {
   done: 202,
   refused: 409,
