--- a/bench/admission-loop.ts
+++ b/bench/admission-loop.ts
@@ -1,6 +1,6 @@
 /**
- * A small loop around the pure admission core: seeded arrivals, slots with service times, a clock
- * that jumps from event to event. It measures the policies; it models no cluster.
+ * Discrete-event simulation of the admission core: seeded arrivals, slots with service times.
+ * It compares admission policies and does not model a cluster.
  */
 
 import {
@@ -26,7 +26,7 @@
 
 const MODEL = brandAs<ModelId>('model');
 
-/** A kind of request: its class, mean time in a slot and part of its organisation's requests. */
+/** A kind of request: its class, mean service time and fraction of its organisation's requests. */
 export interface Kind {
   readonly class: CallerClass;
   readonly meanMs: number;
@@ -36,7 +36,7 @@
 export interface Tenant {
   readonly name: string;
   readonly share: number;
-  /** Offered work, in slots. */
+  /** Offered load, in slots. */
   readonly load: number;
 }
 
@@ -45,7 +45,7 @@
   readonly slots: number;
   readonly tenants: readonly Tenant[];
   readonly kinds: readonly Kind[];
-  /** Spread of service times: standard deviation of the logarithm. */
+  /** Standard deviation of the logarithm of service times. */
   readonly spread: number;
   /** Requests per burst; 1 for plain Poisson arrivals. */
   readonly burst: number;
@@ -53,7 +53,7 @@
   readonly seed: number;
 }
 
-/** What became of one organisation's requests. */
+/** Outcome counts and latencies of one organisation's requests. */
 export interface TenantResult {
   readonly name: string;
   offered: number;
@@ -61,13 +61,13 @@
   inTime: number;
   offeredWorth: number;
   worthInTime: number;
-  /** Time from arrival to the end, of answered requests, milliseconds. */
+  /** Milliseconds from arrival to completion of each answered request. */
   readonly latenciesMs: number[];
-  /** Time from arrival to the refusal, milliseconds. */
+  /** Milliseconds from arrival to refusal of each refused request. */
   readonly refusalsMs: number[];
 }
 
-/** A tenant with its own chance, so that its requests are the same whatever the others do. */
+/** A tenant with its own random stream, so that its requests don't depend on the other tenants. */
 interface Source {
   readonly tenant: Tenant;
   readonly random: Random;
@@ -105,7 +105,7 @@
   seq: number;
 }
 
-/** Runs the loop to its end and gives each organisation's result, in the order of `tenants`. */
+/** Runs the simulation and returns each organisation's result, in the order of `tenants`. */
 export function runLoop(opts: LoopOptions): readonly TenantResult[] {
   const loop = createLoop(opts);
   const sources = opts.tenants.map((tenant, i) => createSource(tenant, opts.seed, i));
@@ -159,7 +159,7 @@
   return -Math.log(1 - random.next()) * mean;
 }
 
-/** Log-normal around `mean` (Box and Muller). */
+/** Log-normal sample with the given mean (Box-Muller transform). */
 function logNormal(random: Random, mean: number, spread: number): number {
   const radius = Math.sqrt(-2 * Math.log(1 - random.next()));
   const normal = radius * Math.cos(2 * Math.PI * random.next());
@@ -204,10 +204,10 @@
 }
 
 function pickKind(kinds: readonly Kind[], random: Random): Kind | undefined {
-  let left = random.next();
+  let remaining = random.next();
   return kinds.find((kind) => {
-    left -= kind.part;
-    return left < 0;
+    remaining -= kind.part;
+    return remaining < 0;
   });
 }
 
@@ -220,7 +220,7 @@
   if (job !== undefined) push(loop.events, { kind: 'end', at: loop.now + job.serviceMs, id });
 }
 
-/** A refused request is done with. */
+/** Removes a refused request and records its time to refusal. */
 function end(loop: Loop, id: RequestId): void {
   const job = loop.jobs.get(id);
   loop.jobs.delete(id);
--- a/bench/admission.ts
+++ b/bench/admission.ts
@@ -1,4 +1,4 @@
-/** Admission policies against plain baselines: answered worth, and isolation of organisations. */
+/** Compares admission policies with simple baselines: answered worth, and isolation of organisations. */
 
 import type { AdmissionOptions } from '../src/core/admission/types';
 import type { CallerClass } from '../src/core/config/types';
@@ -9,7 +9,7 @@
 
 const SEEDS = [1, 2, 3, 4, 5];
 const LOADS = [0.8, 1, 1.5, 3];
-/** Policies and, of the one in use, versions without one of its parts. */
+/** All policies, and ablations of the one in use. */
 const VARIANTS: Readonly<Record<string, Partial<AdmissionOptions>>> = {
   'first-come': { policy: 'first-come' },
   'limit-only': { policy: 'limit-only' },
@@ -24,7 +24,7 @@
   return { name, worth, deadlineMs, maxInFlight: 100_000 };
 }
 
-/** Urgent and short, ordinary, and long work that can wait. */
+/** Short urgent requests, ordinary ones, and long ones that tolerate delay. */
 const KINDS: readonly Kind[] = [
   { class: callerClass('urgent', 10, 1_500), meanMs: 300, part: 0.4 },
   { class: callerClass('ordinary', 4, 6_000), meanMs: 600, part: 0.4 },
@@ -51,11 +51,11 @@
   readonly variant: string;
   readonly load: number;
   readonly burst: number;
-  /** Worth answered within the deadline over worth offered. */
+  /** Worth answered within the deadline, divided by worth offered. */
   readonly worth: Summary;
-  /** Requests answered within the deadline over those offered. */
+  /** Requests answered within the deadline, divided by requests offered. */
   readonly inTime: Summary;
-  /** 95th percentile of the time to a refusal, milliseconds. */
+  /** 95th percentile of the time to refusal, milliseconds. */
   readonly refusalP95Ms: Summary;
 }
 
@@ -90,7 +90,7 @@
   };
 }
 
-/** Worth answered in time by each policy at each load, five seeds each. */
+/** Measures the worth answered in time by each policy at each load, over five seeds. */
 export function compareWorth(): readonly WorthRow[] {
   const bursts = [1, 16];
   return bursts.flatMap((burst) =>
@@ -101,13 +101,13 @@
 export interface IsolationRow {
   readonly variant: string;
   readonly slots: number;
-  /** 95th percentile of the others' latency, milliseconds, with the one at its share. */
+  /** 95th percentile of the neighbours' latency, milliseconds, with the noisy one at its share. */
   readonly quietP95Ms: Summary;
-  /** The same with the one at ten times its share. */
+  /** The same with the noisy one at ten times its share. */
   readonly noisyP95Ms: Summary;
-  /** Noisy over quiet, of each seed. */
+  /** Noisy latency divided by quiet latency, per seed. */
   readonly ratio: Summary;
-  /** The others' requests answered in time, noisy run. */
+  /** Fraction of the neighbours' requests answered in time, in the noisy run. */
   readonly inTime: Summary;
 }
 
@@ -117,7 +117,7 @@
 }
 
 const NEIGHBOURS = 4;
-/** Part of their shares that the others use. */
+/** Fraction of their share that the neighbours use. */
 const NEIGHBOUR_LOAD = 0.7;
 const NOISY_FACTOR = 10;
 
@@ -161,7 +161,7 @@
   };
 }
 
-/** The others' latency while one organisation asks for ten times its share. */
+/** Measures the neighbours' latency while one organisation offers ten times its share. */
 export function compareIsolation(): readonly IsolationRow[] {
   const sizes = [8, 32, 128];
   return sizes.flatMap((slots) =>
--- a/bench/config-propagation.ts
+++ b/bench/config-propagation.ts
@@ -1,7 +1,7 @@
 /**
- * Time from a change's acceptance until it is in force on all of seven daemons, over loopback TCP
- * and the platform's stand-in: with the push working, with every push lost, and after one daemon
- * was cut off from the table and its peers and healed.
+ * Measures the time from the acceptance of a configuration change until all seven daemons apply it,
+ * over loopback TCP and the platform's stand-in: with the push working, with every push lost, and
+ * after a partition of one daemon from the table and its peers has healed.
  */
 
 import { ResultAsync, errAsync } from 'neverthrow';
@@ -30,7 +30,7 @@
 
 interface BenchDaemon {
   readonly config: ConfigPart;
-  /** Instants at which each version was first in force, or a newer one. */
+  /** Time at which each version, or a newer one, first took effect. */
   readonly reached: Map<number, number>;
   cut: boolean;
 }
@@ -48,7 +48,7 @@
   return new Promise((resolve) => setTimeout(resolve, ms));
 }
 
-/** The table as a daemon reaches it: while it is cut off, calls hang until their timeout. */
+/** Wraps the table of one daemon: during a partition, calls hang until their timeout. */
 function behindCut(table: Table, isCut: () => boolean): Table {
   const lost = <T>(step: string) =>
     ResultAsync.fromSafePromise(sleep(TABLE_TIMEOUT_MS)).andThen(() =>
@@ -109,7 +109,7 @@
   };
 }
 
-/** Submits through one daemon after the other; the instant of each acceptance. */
+/** Submits a change through the daemons in rotation; returns the time of its acceptance. */
 async function change(system: System, version: number, among: number): Promise<number> {
   const daemon = system.daemons[version % among];
   const done = await daemon?.config.submit({
@@ -132,7 +132,7 @@
   return Math.max(0, last - from);
 }
 
-/** `among`: daemons that submit; with pushes lost one alone, since each learns of its own changes. */
+/** `among`: number of submitting daemons; 1 if pushes are lost, as each knows its own changes. */
 async function measureSteady(push: boolean, among: number): Promise<readonly number[]> {
   const system = await startSystem(push);
   const accepted: number[] = [];
@@ -146,7 +146,7 @@
   return times;
 }
 
-/** After each cut of the last daemon: the time from its healing to the newest version. */
+/** Time from the end of each partition of the last daemon until it applies the newest version. */
 async function measureHealed(): Promise<readonly number[]> {
   const system = await startSystem(true);
   const last = system.daemons.at(-1);
--- a/bench/forming-loop.ts
+++ b/bench/forming-loop.ts
@@ -1,6 +1,6 @@
 /**
- * Servers of three domains are lost and added for 90 s while the plan of groups runs against them in
- * simulated time. Tells for what part of the time each model had the groups that its work fills.
+ * Simulates 90 s of servers lost and added in three domains while the group planner runs. Measures
+ * the fraction of the time in which each model had the groups that its load needs.
  */
 
 import { createRandom } from '../src/adapters/runtime';
@@ -12,12 +12,12 @@
 export interface LossesOptions {
   readonly seed: number;
   readonly without?: readonly FormingMechanism[];
-  /** Share of the orders that get no answer and are carried out 2 to 12 s late. */
+  /** Fraction of commands that get no response and are executed 2 to 12 s late. */
   readonly lateShare?: number;
 }
 
 export interface LossesResult {
-  /** Parts of the time, 0 to 1. */
+  /** Fractions of the time, 0 to 1. */
   readonly largeServed: number;
   readonly smallServed: number;
   readonly loads: number;
@@ -25,10 +25,10 @@
 }
 
 const SECONDS = 90;
-/** A member of a group is lost, and a server added to some domain, once in so many seconds. */
+/** Interval at which a group member is lost and a server is added to a random domain. */
 const LOSS_EVERY_S = 5;
 const [LATE_LEAST_MS, LATE_SPREAD_MS] = [2_000, 10_000];
-/** Work, in groups that it keeps busy. */
+/** Offered load of each model, in fully used groups. */
 const WORK = new Map([
   [LARGE, 2],
   [SMALL, 1.5],
--- a/bench/forming.ts
+++ b/bench/forming.ts
@@ -1,4 +1,4 @@
-/** What each mechanism of the plan of groups is worth: the same losses with all of them and without each. */
+/** Ablation of the group planner's mechanisms: the same losses with all of them and without each one. */
 
 import type { FormingMechanism } from '../src/core/gateway/forming/state';
 import { runLosses } from './forming-loop';
@@ -13,7 +13,7 @@
   'spares',
 ];
 const SEEDS = Array.from({ length: 12 }, (_, i) => i + 1);
-/** Shares of the orders that are late: none, and a third. */
+/** Fractions of commands that are late: none, and about a third. */
 const LATE_SHARES = [0, 0.35];
 
 function measure(without: readonly FormingMechanism[], lateShare: number): object {
@@ -29,7 +29,7 @@
   };
 }
 
-/** One row a mechanism that is left out, and one with all of them, for each share of late orders. */
+/** One row with all mechanisms and one per omitted mechanism, for each fraction of late commands. */
 export function benchForming(): readonly object[] {
   const sets: readonly (readonly FormingMechanism[])[] = [[], ...MECHANISMS.map((each) => [each])];
   return LATE_SHARES.flatMap((lateShare) => sets.map((without) => measure(without, lateShare)));
--- a/bench/groups-history.ts
+++ b/bench/groups-history.ts
@@ -1,27 +1,27 @@
-/** Seeded histories of faults in one fabric domain, at rates like the users' planned size. */
+/** Generates seeded fault histories of one fabric domain, at the rates expected of the users' planned size. */
 
 import { createRandom } from '../src/adapters/runtime';
 import type { Random } from '../src/ports/runtime';
 
-/** `die`: the instance is lost, another takes its place later; `dark`: power lost to the domain. */
+/** `die`: the instance is lost and replaced later; `dark`: the domain loses power. */
 export type FaultKind = 'pause' | 'restart' | 'die' | 'dark';
 
 export interface Fault {
   readonly kind: FaultKind;
   /** Seconds from the start. */
   readonly at: number;
-  /** Seconds until the instance, or the one in its place, is back. */
+  /** Seconds until the instance or its replacement is back. */
   readonly forS: number;
-  /** Which instance, as a number to be taken modulo the domain's size. */
+  /** Index of the instance, modulo the domain's size. */
   readonly pick: number;
 }
 
-/** Faults per instance and day; the letter gives 150 failures and 830 restarts among 7,500. */
+/** Faults per instance and day; the requirements give 150 failures and 830 restarts among 7,500. */
 export const RATES = { die: 150 / 7_500, restart: 830 / 7_500, pause: 830 / 7_500 } as const;
-/** A rack a week among the 250 domains of 30 that 7,500 servers make. */
+/** One rack a week among 250 domains of 30 (7,500 servers). */
 const DARK_PER_DAY = 1 / 7 / 250;
 
-/** Fixed times, seconds. Assumed: the letter gives none. */
+/** Fixed durations, seconds. Assumed: the requirements give none. */
 export const TIMES = {
   shortPause: 10,
   longPause: 45,
@@ -56,7 +56,7 @@
   return faults.sort((a, b) => a.at - b.at);
 }
 
-/** A Poisson process by its gaps. */
+/** Samples a Poisson process from exponential gaps. */
 function arrivals(random: Random, perSecond: number, until: number): readonly number[] {
   const times: number[] = [];
   let at = 0;
--- a/bench/groups-loads.ts
+++ b/bench/groups-loads.ts
@@ -1,4 +1,4 @@
-/** The order of weight loads after a fabric domain lost its power: all come back cold at once. */
+/** Compares orders of weight loads after a fabric domain lost power and all instances restart without weights. */
 
 import type { LoadPolicy, ModelPlan } from '../src/core/groups/domain-types';
 import { groupsOf } from '../src/core/groups/health';
@@ -9,12 +9,12 @@
 
 export interface LoadsBenchRow {
   readonly loads: LoadPolicy;
-  /** Members that may fetch weights at a time. */
+  /** Maximum number of members that fetch weights concurrently. */
   readonly maxLoads: number;
-  /** Seconds until the groups of each model serve again, summed over its groups. */
+  /** Seconds until each model's groups serve again, summed over its groups. */
   readonly urgentDowntime: number;
   readonly bulkDowntime: number;
-  /** Both, by their worth. */
+  /** Both sums, weighted by worth. */
   readonly cost: number;
 }
 
@@ -44,7 +44,7 @@
   const [bulk, urgent] = plansOf(loads);
   const loop = createLoop({ instances: INSTANCES, models: [bulk], settings: { maxLoads } });
   pass(loop, SETTLE_S);
-  // The urgent model came last, so that its group stands last in the order of arrival.
+  // The urgent model is added last, so its group is last in arrival order.
   configure(loop, [bulk, urgent]);
   pass(loop, SETTLE_S);
   for (const engine of loop.engines.values()) restart(engine, loop.now);
@@ -64,7 +64,7 @@
   };
 }
 
-/** Both orders, with loads limited to one group at a time and not limited. */
+/** Measures both orders, with loads limited to one group at a time and unlimited. */
 export function benchLoads(): readonly LoadsBenchRow[] {
   return (['arrival', 'value-first'] as const).flatMap((loads) =>
     [MEMBERS, INSTANCES].map((maxLoads) => play(loads, maxLoads)),
--- a/bench/groups-loop.ts
+++ b/bench/groups-loop.ts
@@ -1,4 +1,4 @@
-/** A small loop around the pure domain reducer: one domain, one holder, engines with fixed times. */
+/** Simulates the domain reducer with one domain, one holder and engines with fixed durations. */
 
 import { createDomain, reduceDomain } from '../src/core/groups/domain';
 import type {
@@ -34,7 +34,7 @@
   readonly settings?: Partial<DomainSettings>;
 }
 
-/** Sums over the whole history. */
+/** Totals over the complete history. */
 export interface LoopResult {
   /** Seconds in which a wanted group could not serve, by model. */
   readonly downtimeS: Readonly<Record<string, number>>;
@@ -47,10 +47,10 @@
 const DOMAIN = 'd' as DomainId;
 const MS = 1_000;
 const SECONDS_A_DAY = 86_400;
-/** Seconds without a change after which time passes faster. */
+/** Seconds without a change after which the simulation uses longer steps. */
 const QUIET_S = 20;
 const SLOW_STEP_S = 10;
-/** Members that the weight store serves at full rate at a time; more share it. */
+/** Members that the weight store serves concurrently at full rate; more share its bandwidth. */
 const STORE_PARALLEL = 4;
 
 export interface Loop {
@@ -62,7 +62,7 @@
   version: number;
 }
 
-/** A domain whose instances are all idle, held by one daemon for good. */
+/** A domain of idle instances, permanently held by one daemon. */
 export function createLoop({
   instances,
   models,
@@ -167,7 +167,7 @@
 interface Return {
   readonly engine: FakeEngine;
   readonly at: number;
-  /** Comes back as a new process without weights. */
+  /** Restarts as a new process without weights. */
   readonly fresh: boolean;
 }
 
@@ -180,7 +180,7 @@
   }
 }
 
-/** By the engines' own account. */
+/** According to the engines' own state. */
 export function isServing(loop: Loop, row: GroupRow): boolean {
   if (row.phase === 'draining') return false;
   return row.members.every(({ instance }) => {
@@ -194,7 +194,7 @@
   strandedS: number;
 }
 
-/** Adds what is lacking now, by the engines' own account, for `seconds`. */
+/** Accumulates the current shortfall, according to the engines' own state, over `seconds`. */
 function measure(loop: Loop, models: readonly ModelPlan[], sums: Sums, seconds: number): boolean {
   const serving = groupsOf(loop.state).filter((row) => isServing(loop, row));
   const used = new Set(serving.flatMap((row) => row.members.map((member) => member.instance)));
@@ -221,7 +221,7 @@
   tell(loop, { kind: 'tick' });
 }
 
-/** Plays a history; measures from when the first groups have had time to form. */
+/** Replays a history; measurement starts once the first groups have had time to form. */
 export function playHistory(options: LoopOptions): LoopResult {
   const loop = createLoop(options);
   const sums: Sums = { downtimeS: {}, strandedS: 0 };
@@ -248,7 +248,7 @@
   return { ...sums, loads: loop.loads, faults: options.faults.length };
 }
 
-/** One second; longer once nothing has changed for a while, and no load is under way. */
+/** Step of one second; longer after a period without changes while no load is in progress. */
 function stepFrom(loop: Loop, quietS: number, next: number): number {
   const loading = [...loop.engines.values()].some((engine) => engine.loading);
   if (quietS < QUIET_S || loading) return 1;
--- a/bench/groups-slopes.ts
+++ b/bench/groups-slopes.ts
@@ -1,4 +1,4 @@
-/** What the control plane's reducers cost, by the size of what they hold. */
+/** Measures time and memory of the control plane's reducers by the size of their state. */
 
 import { setFlagsFromString } from 'node:v8';
 import { runInNewContext } from 'node:vm';
@@ -21,13 +21,13 @@
   ZoneId,
 } from '../src/core/ids';
 
-/** One measured point. `us` is for one run of what `unit` names; `bytes` for all that is held. */
+/** One measured point: `us` is the time of one `unit`, `bytes` the memory of the complete state. */
 export interface SlopeRow {
   readonly role: 'holder' | 'observer' | 'entry' | 'peer';
   readonly unit: string;
   readonly size: number;
   readonly us: number;
-  /** Absent where nothing is held. */
+  /** Absent if no state is kept. */
   readonly bytes?: number;
 }
 
@@ -38,7 +38,7 @@
 const FRESH_UNTIL = 1e9 as MonoTime;
 const SERVER_SIZES = [750, 1_500, 3_000, 7_500] as const;
 const DOMAIN_SIZES = [16, 32, 64, 128] as const;
-/** One domain is too little to be told from the noise of the heap. */
+/** A single domain can't be distinguished from heap noise. */
 const DOMAIN_COPIES = 20;
 const PEER_SIZES = [7, 70, 335, 670] as const;
 const ROUNDS = 7;
@@ -53,7 +53,7 @@
   return process.memoryUsage().heapUsed;
 }
 
-/** What is held, and what holding it takes: the median, since earlier garbage may go meanwhile. */
+/** Builds state and measures its heap use: the median, as earlier garbage may be collected meanwhile. */
 function hold<T>(make: () => T): { readonly held: T; readonly bytes: number } {
   let held = make();
   const sizes = Array.from({ length: HOLDS }, () => {
@@ -66,7 +66,7 @@
   return { held, bytes: Math.max(0, sizes.sort((a, b) => a - b)[Math.floor(HOLDS / 2)] ?? 0) };
 }
 
-/** Median over rounds of the time of one run, microseconds. */
+/** Median over rounds of the time per run, microseconds. */
 function timeOf(runs: number, work: (i: number) => void): number {
   for (let i = 0; i < runs; i++) work(i);
   const rounds = Array.from({ length: ROUNDS }, () => {
@@ -138,7 +138,7 @@
   return { [MODEL]: plan };
 }
 
-/** A held domain of `size` servers, all of them in groups that serve. */
+/** A held domain of `size` servers, all in serving groups. */
 function domainOf(size: number): DomainState {
   const context = { now: NOW };
   const groups = Array.from({ length: Math.floor(size / MEMBERS) }, (_, n) => rowOf(n, 'd'));
@@ -265,7 +265,7 @@
   });
 }
 
-/** All points; run with nothing else on the machine. */
+/** Measures all points; run on an otherwise idle machine. */
 export function benchControlSlopes(): readonly SlopeRow[] {
   return [...holderRows(), ...entryRows(), ...peerRows()];
 }
--- a/bench/groups.ts
+++ b/bench/groups.ts
@@ -1,4 +1,4 @@
-/** Policies of groups, each against its plain baseline, over seeded histories of faults. */
+/** Compares each group policy with a simple baseline over seeded fault histories. */
 
 import { policiesOf } from '../src/core/groups/policies';
 import type { PolicyNames } from '../src/core/groups/domain-types';
@@ -12,17 +12,17 @@
   readonly days?: number;
 }
 
-/** One way of doing it, in one organisation's setting. */
+/** Results of one policy variant in one organisation's setting. */
 export interface GroupsBenchRow {
   readonly setting: string;
   readonly policies: string;
-  /** Seconds a day in which a group of the main model could not serve. */
+  /** Seconds per day in which a group of the main model could not serve. */
   readonly downtimePerDay: number;
-  /** Of the small model that the reserve is lent to, where there is one. */
+  /** The same for the small model that borrows the reserve, if there is one. */
   readonly smallDowntimePerDay: number;
-  /** Accelerator-seconds a day that no serving group used, the dead ones left out. */
+  /** Accelerator-seconds per day on running instances that no serving group used. */
   readonly strandedPerDay: number;
-  /** Downtime and stranded accelerators by the organisation's weights. */
+  /** Downtime and stranded accelerators, weighted by the organisation's weights. */
   readonly costPerDay: number;
   readonly loadsPerDay: number;
   readonly faults: number;
@@ -31,7 +31,7 @@
 interface Setting {
   readonly name: string;
   readonly weights: GroupWeights;
-  /** A model of one member, worth a tenth, may use what the main model leaves. */
+  /** A single-member model, worth a tenth, may use instances that the main model does not. */
   readonly hasSmall: boolean;
 }
 
@@ -42,7 +42,7 @@
 
 const MEMBERS = 4;
 const REPLICAS = 4;
-/** 4 groups of 4 instances and one more, or none more. */
+/** 4 groups of 4 instances, with or without one spare. */
 const WITH_SPARE = 17;
 const WITHOUT_SPARE = 16;
 const SMALL_WORTH = 0.1;
@@ -52,7 +52,7 @@
   { name: 'umurage', weights: { downtime: 2, stranded: 1 }, hasSmall: true },
 ];
 
-/** Replace at a time-out, with one instance kept idle in each domain. */
+/** Replaces on timeout, with one instance kept idle in each domain. */
 const BASELINE: PolicyNames = {
   replace: 'timeout',
   choose: 'lowest-id',
@@ -124,7 +124,7 @@
   };
 }
 
-/** All variants in both settings, over the same histories. */
+/** Measures all variants in both settings, over the same histories. */
 export function benchGroups(options: GroupsBenchOptions = {}): readonly GroupsBenchRow[] {
   const { seeds = 2, days = 20 } = options;
   return SETTINGS.flatMap((setting) =>
--- a/bench/limits.ts
+++ b/bench/limits.ts
@@ -1,4 +1,4 @@
-/** What sharing the limits of servers costs a daemon, and how much of a limit is used, by the size of the fleet. */
+/** Measures by fleet size what sharing servers' rate limits costs a daemon, and how much of a limit is used. */
 
 import { createRandom } from '../src/adapters/runtime';
 import { encodeFrame } from '../src/adapters/peers/codec';
@@ -12,7 +12,7 @@
 import { runLimits } from '../tests/fuzz/limits-world';
 import { mean, round } from './statistics';
 
-/** Daemons, and heads of groups of which a twentieth name a limit. */
+/** Numbers of daemons and of group heads; a twentieth of the heads declare a limit. */
 const SIZES: readonly (readonly [daemons: number, heads: number])[] = [
   [7, 12],
   [70, 20],
--- a/bench/main.ts
+++ b/bench/main.ts
@@ -1,4 +1,4 @@
-/** Runs the benchmarks named on the command line, or all; prints a JSON line for each figure. */
+/** Runs the benchmarks named on the command line, or all; prints one JSON line per result. */
 
 import { compareIsolation, compareWorth } from './admission';
 import { benchConfigPropagation } from './config-propagation';
--- a/bench/membership-slopes.ts
+++ b/bench/membership-slopes.ts
@@ -1,7 +1,7 @@
 /**
- * Time and memory of membership, gossip and configuration by size: one row a size, so that slopes
- * can be read off. Times are of the reducers alone, in this process; bytes are what the heap grows
- * by for each item, or for a change what is pushed.
+ * Measures time and memory of membership, gossip and configuration by size, one row per size.
+ * Times cover only the reducers, in this process; bytes are heap growth per item, or for a
+ * configuration change the size of what is pushed.
  */
 
 import { setFlagsFromString } from 'node:v8';
@@ -30,7 +30,7 @@
   /** What `size` counts. */
   readonly unit: string;
   readonly size: number;
-  /** Microseconds a step. */
+  /** Microseconds per step. */
   readonly us: number;
   readonly bytes: number;
 }
@@ -99,7 +99,7 @@
   holder.state = reduceMembership(holder.state, event, contextAt(holder.nowMs)).state;
 }
 
-/** A daemon that knows `peers` others and holds `facts` entries, all rumours run out. */
+/** A daemon with `peers` peers and `facts` entries, none of which is still being gossiped. */
 function holderOf(peers: number, facts: number): Holder {
   const self = {
     id: brandAs<DaemonId>('daemon-0'),
@@ -120,7 +120,7 @@
   return holder;
 }
 
-/** One tick with all answers to what was sent: what a second costs is ten of these. */
+/** One tick, with responses to everything sent; there are ten ticks a second. */
 function quietTick(holder: Holder): void {
   holder.nowMs += TICK_MS;
   const step = reduceMembership(holder.state, { kind: 'tick' }, contextAt(holder.nowMs));
@@ -194,7 +194,7 @@
   return { role: 'config', unit: 'change put in force, by organisations', size, us, bytes };
 }
 
-/** Microseconds and bytes per peer, per gossip entry and per change of configuration. */
+/** Measures microseconds and bytes per peer, per gossip entry and per configuration change. */
 export function benchMembershipSlopes(): readonly MembershipSlopeRow[] {
   return [...PEERS.flatMap(peerRows), ...ENTRIES.map(entryRow), ...ORGANISATIONS.map(changeRow)];
 }
--- a/bench/membership-traffic.ts
+++ b/bench/membership-traffic.ts
@@ -1,6 +1,6 @@
 /**
- * Bytes a second and processor time of membership per daemon, measured on loopback TCP with many
- * daemons in one process: at rest, and with each daemon publishing.
+ * Measures membership traffic (bytes per second) and CPU time per daemon on loopback TCP, with many
+ * daemons in one process: idle, and with each daemon publishing.
  */
 
 import { later } from '../src/core/ids';
--- a/bench/quarantine-loop.ts
+++ b/bench/quarantine-loop.ts
@@ -1,6 +1,6 @@
 /**
- * A small loop around quarantine: requests run on groups, some crash them, groups fall by themselves
- * and by domain. Daemons each have a state of their own and hear of each other's strikes late.
+ * Simulates quarantine: requests run on groups, some crash them, and groups also fail independently
+ * and by domain. Each daemon has its own state and receives other daemons' strikes with a delay.
  */
 
 import { createRandom } from '../src/adapters/runtime';
@@ -36,10 +36,10 @@
   requestsPerSecond: 40,
   serviceMs: 5_000,
   badEveryMs: 120_000,
-  /** A bad request crashes its group after so long, each at a point of its own ... */
+  /** Time after which a bad request crashes its group, different for each request ... */
   badCrashesFromMs: 100,
   badCrashesToMs: 5_000,
-  /** ... give or take this factor from run to run. */
+  /** ... varied by up to this factor between runs. */
   badJitter: 1.5,
   ownCrashEveryMs: 300_000,
   domainDarkEveryMs: 900_000,
@@ -57,9 +57,9 @@
   readonly badRequests: number;
   readonly groupsLostToBad: number;
   readonly innocents: number;
-  /** Innocent requests that were refused for good. */
+  /** Innocent requests that were permanently refused. */
   readonly innocentsRefused: number;
-  /** Runs of innocent requests that were torn. */
+  /** Runs of innocent requests that were interrupted. */
   readonly innocentsTorn: number;
 }
 
@@ -88,7 +88,7 @@
   readonly run: () => void;
 }
 
-/** A plain counter: each group lost under a request is a strike, for whatever reason. */
+/** Baseline: counts each group lost during a request as a strike, whatever the reason. */
 const COUNTER = {
   ageFactor: Infinity,
   correlationWindowMs: 0,
@@ -249,7 +249,7 @@
     });
     const over = running.filter(({ endsAt }) => endsAt <= now);
     running = running.filter(({ endsAt }) => endsAt > now);
-    // A run that crashes its group is among those that its fall tears.
+    // The run that crashes its group is also among the interrupted ones.
     running.push(...over.filter(({ req }) => req.isBad));
     over.forEach(finish);
     running = running.filter(({ endsAt }) => endsAt > now);
--- a/bench/quarantine.ts
+++ b/bench/quarantine.ts
@@ -1,4 +1,4 @@
-/** Quarantine against none and against a plain counter: groups lost per bad request, innocents refused. */
+/** Compares quarantine with none and with a simple counter: groups lost per bad request, innocent requests refused. */
 
 import { runQuarantine } from './quarantine-loop';
 import { round } from './statistics';
@@ -11,7 +11,7 @@
   return results.reduce((total, result) => total + result[field], 0);
 }
 
-/** One row a policy, over all seeds. */
+/** One row per policy, over all seeds. */
 export function benchQuarantine(): readonly object[] {
   return POLICIES.map((policy) => {
     const results = SEEDS.map((seed) => runQuarantine(policy, seed));
--- a/bench/relay-bare.mjs
+++ b/bench/relay-bare.mjs
@@ -1,5 +1,5 @@
-// A bare relay over Node's `http`, as the measure of what a relay costs at least: it passes requests
-// on to the backend servers in turn and pipes the answers back. No checks of any kind.
+// A minimal relay over Node's `http`, as the baseline for the cost of a relay: it forwards requests
+// to the backend servers in rotation and pipes the responses back, without any checks.
 //
 // node bench/relay-bare.mjs '[{"address": "127.0.0.1:1", "group": "g", "epoch": 1}]'
 import { Agent, createServer, request } from 'node:http';
--- a/bench/relay-load.ts
+++ b/bench/relay-load.ts
@@ -1,31 +1,31 @@
-/** Load for the relay benchmark: closed loops of calls, and the processor time of a process. */
+/** Load generator of the relay benchmark: closed loops of calls, and the CPU time of a process. */
 
 import { readFileSync } from 'node:fs';
 import { Agent, request } from 'node:http';
 
 import { CALLER_KEY } from '../tests/support/system';
 
-/** Clock ticks a second in `/proc`, the same on all Linux machines of today. */
+/** Clock ticks per second in `/proc` (USER_HZ), the same on all current Linux machines. */
 const TICKS_PER_SECOND = 100;
 const USER_FIELD = 11;
 const SYSTEM_FIELD = 12;
 
-/** One place to send calls to. */
+/** A target of calls. */
 export interface Target {
   readonly address: string;
   readonly headers?: Readonly<Record<string, string>>;
 }
 
 export interface Caller {
-  /** Sends one call and resolves with its time to the end, milliseconds. */
+  /** Sends one call and resolves with its duration, milliseconds. */
   call(target: Target, body: string): Promise<number>;
   close(): void;
 }
 
-/** Processor time that a process has used so far, milliseconds. */
+/** CPU time that a process has used so far, milliseconds. */
 export function cpuMs(pid: number): number {
   const stat = readFileSync(`/proc/${pid}/stat`, 'utf8');
-  // The name, in brackets, may hold spaces.
+  // The process name, in parentheses, may contain spaces.
   const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ');
   const ticks = Number(fields[USER_FIELD]) + Number(fields[SYSTEM_FIELD]);
   return (ticks * 1_000) / TICKS_PER_SECOND;
@@ -77,7 +77,7 @@
   readonly latenciesMs: readonly number[];
 }
 
-/** Keeps `width` calls going until `calls` were made. */
+/** Keeps `width` calls in flight until `calls` have been made. */
 export async function runCalls(
   caller: Caller,
   target: Target,
--- a/bench/relay-slopes.ts
+++ b/bench/relay-slopes.ts
@@ -1,4 +1,4 @@
-/** What a request and a token cost a daemon, as processes on loopback, by the load it carries. */
+/** Measures a daemon's cost per request and per token by load, with separate processes on loopback. */
 
 import { readFileSync } from 'node:fs';
 
@@ -6,18 +6,18 @@
 import type { Load, Setup } from './relay';
 import { round } from './statistics';
 
-/** One point of a slope of the request plane. */
+/** One measured point of the request plane. */
 export interface RelaySlopeRow {
   readonly role: 'request plane';
-  /** What a `us` is for. */
+  /** What `us` is measured per. */
   readonly unit: 'token' | 'small request';
-  /** Streams, or calls, at a time. */
+  /** Concurrent streams or calls. */
   readonly size: number;
-  /** Units a second that this made. */
+  /** Resulting units per second. */
   readonly perSecond: number;
-  /** Processor time for a unit, microseconds. */
+  /** CPU time per unit, microseconds. */
   readonly us: number;
-  /** Most that resident memory grew meanwhile, for each stream or call, bytes; garbage included. */
+  /** Peak growth of resident memory per stream or call, bytes; includes garbage. */
   readonly bytes: number;
 }
 
@@ -70,7 +70,7 @@
   };
 }
 
-/** Processor time and memory of one daemon at four loads of each kind. */
+/** Measures CPU time and memory of one daemon at four loads of each kind. */
 export async function measureRelaySlopes(): Promise<readonly RelaySlopeRow[]> {
   const setup = await setUp([]);
   const rows: RelaySlopeRow[] = [];
--- a/bench/relay.ts
+++ b/bench/relay.ts
@@ -1,6 +1,6 @@
 /**
- * The daemon as a relay against a bare one: separate processes on loopback, the same backend
- * servers behind both, all in one run, in turns.
+ * Compares the daemon with a minimal relay: separate processes on loopback, with the same backend
+ * servers behind both, measured alternately in one run.
  */
 
 import { spawn } from 'node:child_process';
@@ -28,7 +28,7 @@
 const SMALL_CALLS = 2_000;
 const SMALL_WIDTH = 32;
 const SINGLE_CALLS = 300;
-/** Part of the calls of a round made beforehand, so that both programs are compiled. */
+/** Fraction of a round's calls made as warm-up, so that both programs are compiled. */
 const WARM_UP_PART = 1;
 
 const readyLine = z.object({ address: z.string() });
@@ -38,7 +38,7 @@
   rank: z.number().optional(),
 });
 
-/** A process that relays. */
+/** A relay process. */
 export interface Relay extends Target {
   readonly pid: number;
 }
@@ -141,26 +141,26 @@
   };
 }
 
-/** A body of its own for each call, so that no prefix draws the calls to one backend server. */
+/** A distinct body for each call, so that prefix affinity does not route all calls to one server. */
 function bodyOf(tokens: number, stream: boolean, n: number): string {
   const messages = [{ role: 'user', content: `${n}: is paracetamol in stock? tokens=${tokens}` }];
   return JSON.stringify({ model: 'query', messages, stream });
 }
 
-/** One kind of load, measured through both relays. */
+/** Results of one kind of load, measured through both relays. */
 export interface RelayRow {
   readonly measure: string;
-  /** Units a second. */
+  /** Units per second. */
   readonly daemonPerSecond: Summary;
   readonly barePerSecond: Summary;
-  /** Daemon over bare, of each round. */
+  /** Daemon's rate divided by the bare relay's, per round. */
   readonly ratio: Summary;
-  /** Processor time of bare over daemon, of each round. */
+  /** Bare relay's CPU time divided by the daemon's, per round. */
   readonly cpuRatio: Summary;
-  /** Processor time for a unit, microseconds. */
+  /** CPU time per unit, microseconds. */
   readonly daemonUs: Summary;
   readonly bareUs: Summary;
-  /** Part of a core that the daemon used; near 1 it was what limited the rate. */
+  /** Fraction of a core that the daemon used; near 1, the daemon limited the rate. */
   readonly daemonCore: Summary;
   readonly bareCore: Summary;
 }
@@ -175,15 +175,15 @@
   readonly measure: string;
   readonly tokens: number;
   readonly stream: boolean;
-  /** Time of a step of the engines, milliseconds; 0 for as fast as they can. */
+  /** Duration of an engine step, milliseconds; 0 for as fast as possible. */
   readonly tokenMs: number;
   readonly width: number;
   readonly calls: number;
-  /** Units in one call. */
+  /** Units per call. */
   readonly units: number;
 }
 
-/** Sets the time of a step of the engines, milliseconds. */
+/** Sets the duration of an engine step, milliseconds. */
 export async function setTokenMs({ system }: Setup, tokenMs: number): Promise<void> {
   for (const { members } of system.engines) {
     for (const { address } of members) {
@@ -239,15 +239,15 @@
   };
 }
 
-/** Time of single calls, one after the other, milliseconds. */
+/** Latency of sequential single calls, milliseconds. */
 export interface LatencyRow {
   readonly measure: string;
   readonly directMs: number;
   readonly bareMs: number;
   readonly daemonMs: number;
-  /** Daemon less direct. */
+  /** Daemon's latency minus direct latency. */
   readonly addedMs: number;
-  /** Added by the daemon over added by the bare relay. */
+  /** Latency added by the daemon divided by that added by the bare relay. */
   readonly ratio: number;
 }
 
@@ -308,13 +308,13 @@
 ];
 
 export interface RelayOptions {
-  /** Further flags of the daemon. */
+  /** Additional daemon flags. */
   readonly daemonArgs?: readonly string[];
-  /** Names of the loads to run; all, and single calls, by default. */
+  /** Names of the loads to run; defaults to all loads and single calls. */
   readonly loads?: readonly string[];
 }
 
-/** Streams, small calls and single calls through a daemon and a bare relay. */
+/** Measures streams, small calls and single calls through a daemon and a bare relay. */
 export async function measureRelay(
   opts: RelayOptions = {},
 ): Promise<readonly (RelayRow | LatencyRow)[]> {
--- a/bench/request-slopes.ts
+++ b/bench/request-slopes.ts
@@ -1,6 +1,6 @@
 /**
- * Time and memory of admission and routing by size: one row a size, so that slopes can be read off.
- * Times are of the core alone, in this process; bytes are what the heap grows by.
+ * Measures time and memory of admission and routing by size, one row per size. Times cover only
+ * the core, in this process; bytes are heap growth.
  */
 
 import { setFlagsFromString } from 'node:v8';
@@ -38,9 +38,9 @@
   /** What `size` counts. */
   readonly unit: string;
   readonly size: number;
-  /** Processor time of one request's decisions at this size, microseconds. */
+  /** CPU time of one request's decisions at this size, microseconds. */
   readonly us: number;
-  /** Heap for each one of `size`, bytes. */
+  /** Heap per item of `size`, bytes. */
   readonly bytes: number;
 }
 
@@ -48,7 +48,7 @@
 const FAR = 1e12;
 const WARM_UP = 2_000;
 const ROUNDS = 20_000;
-/** Things counted at least when heap is measured. */
+/** Minimum number of items for a heap measurement. */
 const LEAST_COUNTED = 10_000;
 
 const collectGarbage: () => void = (() => {
@@ -61,7 +61,7 @@
   return process.memoryUsage().heapUsed;
 }
 
-/** Microseconds of processor time a call of `step` takes. */
+/** CPU time per call of `step`, microseconds. */
 function timeOf(step: (i: number) => void): number {
   for (let i = 0; i < WARM_UP; i++) step(i);
   const before = process.cpuUsage();
@@ -70,13 +70,13 @@
   return (user + system) / ROUNDS;
 }
 
-/** Builds a state of that size; gives it with a step to be timed. */
+/** Builds a state of the given size and a step to time. */
 interface Case<S> {
   readonly state: S;
   readonly step: (i: number) => void;
 }
 
-/** Heap for each one of `size`; small states are built many times over to rise above the noise. */
+/** Heap per item of `size`; small states are built many times to exceed the noise. */
 function bytesOf<S>(size: number, build: (size: number) => Case<S>): number {
   const copies = Math.ceil(LEAST_COUNTED / size);
   const before = heapBytes();
@@ -109,10 +109,10 @@
 }
 
 const CLASSES = 200;
-/** Between arrivals; more than a request takes, so that none is refused. */
+/** Time between arrivals; longer than a request takes, so that none is refused. */
 const GAP_MS = 500;
 
-/** One request in, and one out, with the queue as it was. */
+/** Admits one request and releases one, leaving the queue length unchanged. */
 function admissionCase(organisations: number, queued: number): Case<AdmissionState> {
   const random = createRandom(1);
   const state = createAdmission({ minQueue: FAR, organisationLimit: FAR });
@@ -151,7 +151,7 @@
   readonly prefixes: number;
 }
 
-/** A request from choice to end, with as many in flight as before. */
+/** Routes and completes one request, leaving the number in flight unchanged. */
 function routingCase({ groups, inFlight, prefixes }: RoutingSize): Case<RoutingState> {
   const random = createRandom(1);
   const state = createRouting({ maxPrefixes: Math.max(1, prefixes) });
@@ -193,7 +193,7 @@
 const BASE_GROUPS = 67;
 const BASE_IN_FLIGHT = 100;
 
-/** Slopes of admission and routing, each in the one size that its unit names. */
+/** Measures admission and routing, each by the size that its unit names. */
 export function measureRequestSlopes(): readonly SlopeRow[] {
   const routing = (size: Partial<RoutingSize>): Case<RoutingState> =>
     routingCase({ groups: BASE_GROUPS, inFlight: BASE_IN_FLIGHT, prefixes: 0, ...size });
--- a/bench/retry.ts
+++ b/bench/retry.ts
@@ -1,7 +1,7 @@
 /**
- * Retries with and without a budget while a fabric domain is dark: attempts sent per accepted
- * request, and requests answered. A small loop around the decisions; each second a group takes so
- * many attempts and refuses the rest.
+ * Compares retries with and without a budget while a fabric domain has no power: attempts per
+ * accepted request, and requests answered. In the simulation a group accepts a fixed number of
+ * attempts per second and refuses the rest.
  */
 
 import { createRandom } from '../src/adapters/runtime';
@@ -15,18 +15,18 @@
 
 const GROUPS = 16;
 const GROUPS_PER_DOMAIN = 4;
-/** Attempts that one group takes in a second. */
+/** Attempts that one group accepts per second. */
 const GROUP_RATE = 50;
 const SECONDS = 60;
-/** From when to when the first domain is dark, seconds. */
+/** Start and end of the first domain's power loss, seconds. */
 const DARK = { from: 20, to: 40 };
 const MAX_ATTEMPTS = 4;
 const DEADLINE_MS = 5_000;
 const DELAYS = { firstMs: 20, maxMs: 1_000 };
 const SEEDS = Array.from({ length: 10 }, (_, i) => i + 1);
-/** Offered load as a share of what all groups take. */
+/** Offered load as a fraction of the capacity of all groups. */
 const LOADS = [0.5, 0.8, 1.1];
-/** Time after which a dark group is no longer offered, milliseconds. */
+/** Time after which a group without power is no longer a candidate, milliseconds. */
 const UNROUTABLE_AFTER_MS = 300;
 
 interface Pending {
@@ -141,7 +141,7 @@
   };
 }
 
-/** One row for each load, with and without a budget. */
+/** One row per load, with and without a budget. */
 export function compareRetries(): readonly RetryRow[] {
   return LOADS.flatMap((load) => [compare(load, false), compare(load, true)]);
 }
--- a/bench/routing-loop.ts
+++ b/bench/routing-loop.ts
@@ -1,6 +1,6 @@
 /**
- * A small loop around the pure routing core: several daemons, each with its own state, choose among
- * groups that are plain queues with a batch limit, service times and a prefix cache.
+ * Simulates the routing core: several daemons, each with its own state, choose among groups
+ * modelled as queues with a batch limit, service times and a prefix cache.
  */
 
 import { createRandom } from '../src/adapters/runtime';
@@ -34,20 +34,20 @@
   readonly daemons: number;
   readonly groups: number;
   readonly maxBatch: number;
-  /** Offered work over what all groups can do without cache hits. */
+  /** Offered load divided by the capacity of all groups without cache hits. */
   readonly load: number;
   /** Groups that take `slowFactor` times as long. */
   readonly stragglers: number;
   readonly slowFactor: number;
-  /** Age of the load that a report gives, milliseconds. */
+  /** Age of a reported load, milliseconds. */
   readonly reportLagMs: number;
-  /** Distinct prefixes; popular ones come more often. */
+  /** Number of distinct prefixes; requests favour popular ones. */
   readonly prefixes: number;
-  /** Prefixes a group can hold. */
+  /** Number of prefixes that a group can cache. */
   readonly cacheSize: number;
-  /** Time until a cache event reaches the daemons, milliseconds. */
+  /** Delay of a cache event to the daemons, milliseconds. */
   readonly eventLagMs: number;
-  /** Part of the cache events that get lost. */
+  /** Fraction of cache events that are lost. */
   readonly eventLoss: number;
   readonly endMs: number;
   readonly seed: number;
@@ -56,16 +56,16 @@
 export interface RoutingResult {
   readonly firstTokenMs: readonly number[];
   readonly hitRate: number;
-  /** Part of the requests that went to stragglers. */
+  /** Fraction of requests routed to stragglers. */
   readonly slowPart: number;
 }
 
-/** Prompt processing without a cache hit, milliseconds. */
+/** Prompt processing time without a cache hit, milliseconds. */
 const PREFILL_MS = 400;
-/** What a hit leaves of it. */
+/** Fraction of the prompt time that remains on a cache hit. */
 const HIT_PREFILL_PART = 0.2;
 const DECODE_MS = 1_200;
-/** Decoding in a full batch takes this much longer than alone. */
+/** Additional decode time in a full batch, as a fraction of the time alone. */
 const BATCH_SLOWDOWN = 0.5;
 const ORGANISATION = brandAs<OrganisationId>('organisation');
 
@@ -190,7 +190,7 @@
   const job: Job = {
     attempt: brandAs<AttemptId>(`a${loop.seq}`),
     daemon,
-    // Squared, so that a quarter of the prefixes gets half of the requests.
+    // Squared, so that a quarter of the prefixes receives half of the requests.
     prefix: `p${Math.floor(random.next() ** 2 * opts.prefixes)}`,
     arrivedAt: loop.now,
     decodeMs: -Math.log(1 - random.next()) * DECODE_MS,
@@ -261,7 +261,7 @@
   onLoadReport(state, { group: server.group.id, inFlight, queued }, context(loop));
 }
 
-/** Puts a prefix into the group's cache and tells the daemons, late and not always. */
+/** Adds a prefix to the group's cache and sends a cache event to the daemons, delayed and possibly lost. */
 function store(loop: Loop, server: Server, prefix: string): void {
   const isNew = !server.cache.delete(prefix);
   server.cache.add(prefix);
--- a/bench/routing.ts
+++ b/bench/routing.ts
@@ -1,4 +1,4 @@
-/** Routing policies against round robin and least-in-flight: time to first token. */
+/** Compares routing policies with round robin and least-in-flight by time to first token. */
 
 import type { RoutingOptions } from '../src/core/routing/types';
 import { runRouting } from './routing-loop';
@@ -8,7 +8,7 @@
 
 const SEEDS = [1, 2, 3, 4, 5];
 
-/** Policies and, of the one in use, versions without one of its parts. */
+/** All policies, and ablations of the one in use. */
 export const ROUTING_VARIANTS: Readonly<Record<string, Partial<RoutingOptions>>> = {
   'round-robin': { policy: 'round-robin' },
   'least-in-flight': { policy: 'least-in-flight' },
@@ -82,7 +82,7 @@
   };
 }
 
-/** Time to first token of each policy in each scene, five seeds each. */
+/** Measures the time to first token of each policy in each scenario, over five seeds. */
 export function compareRouting(): readonly RoutingRow[] {
   return Object.keys(ROUTING_SCENES).flatMap((scene) =>
     Object.keys(ROUTING_VARIANTS).map((variant) => row(scene, variant)),
--- a/bench/statistics.ts
+++ b/bench/statistics.ts
@@ -1,6 +1,6 @@
-/** Small statistics for the benchmarks. */
+/** Statistics helpers of the benchmarks. */
 
-/** The value below which `part` of the values lie (nearest rank); 0 for none. */
+/** Nearest-rank quantile: `part` is the fraction, 0 to 1. Returns 0 if there are no values. */
 export function quantile(values: readonly number[], part: number): number {
   const sorted = values.toSorted((a, b) => a - b);
   const rank = Math.max(0, Math.ceil(part * sorted.length) - 1);
@@ -12,12 +12,12 @@
   return values.reduce((sum, value) => sum + value, 0) / values.length;
 }
 
-/** Rounds to `digits` behind the point. */
+/** Rounds to `digits` decimal places. */
 export function round(value: number, digits = 3): number {
   return Number(value.toFixed(digits));
 }
 
-/** Mean with the least and the greatest value over seeds. */
+/** Mean, minimum and maximum over seeds. */
 export interface Summary {
   readonly mean: number;
   readonly min: number;
--- a/scripts/binary.mjs
+++ b/scripts/binary.mjs
@@ -1,4 +1,4 @@
-// Makes dist/nutmegstack: the bundle inside a copy of this Node, as a single executable.
+// Builds dist/nutmegstack, a single executable: a copy of this Node with the bundle embedded.
 import { execFileSync } from 'node:child_process';
 import { chmod, copyFile, readFile, rm, stat, writeFile } from 'node:fs/promises';
 import { inject } from 'postject';
@@ -7,7 +7,7 @@
 const BINARY = 'dist/nutmegstack';
 const CONFIG = 'dist/sea-config.json';
 const BLOB = 'dist/sea-prep.blob';
-/** Node looks for this mark to know that it carries a program. */
+/** Sentinel by which Node detects an embedded program. */
 const FUSE = 'NODE_SEA_FUSE_fce680ab2cc467b6e072b8b5df1996b2';
 
 await writeFile(
--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,5 +1,5 @@
-// Bundles every program of the project into dist/, one file a program; with the argument `daemon`, the
-// daemon of the users' platform alone into target/.
+// Bundles every program of the project into dist/, one file per program; with the argument `daemon`,
+// only the daemon of the users' platform, into target/.
 import { existsSync } from 'node:fs';
 import { resolve } from 'node:path';
 import { build } from 'esbuild';
@@ -21,8 +21,8 @@
 const present = Object.entries(programs).filter(([, source]) => existsSync(source));
 
 /**
- * Modules that leave out what no program uses. All of a program is compiled at its start, and after a loss of all
- * daemons callers wait for that.
+ * Replacements for modules, without the parts that no program uses. A program is compiled completely at
+ * startup, and callers wait for that after a loss of all daemons.
  */
 const SMALLER_MODULES = {
   rxjs: 'node_modules/rxjs/dist/esm/index.js',
@@ -43,7 +43,7 @@
   alias: Object.fromEntries(
     Object.entries(SMALLER_MODULES).map(([name, path]) => [name, resolve(path)]),
   ),
-  // The addon only speeds cbor-x up; its JavaScript does the same without, and a binary can't load it.
+  // The native addon only speeds up cbor-x, which falls back to JavaScript; a binary can't load it.
   external: ['cbor-extract'],
   define: { 'process.env.CBOR_NATIVE_ACCELERATION_DISABLED': '"true"' },
   logLevel: 'warning',
--- a/scripts/demo.ts
+++ b/scripts/demo.ts
@@ -1,4 +1,4 @@
-/** The demo: both deployments as separate processes, until Ctrl-C. */
+/** Runs the demo: both deployments as separate processes, until Ctrl-C. */
 
 import sade from 'sade';
 
@@ -62,7 +62,7 @@
   return deployment;
 }
 
-/** Resolves with the first signal to stop; later ones are ignored while all stops. */
+/** Resolves on the first stop signal; later ones are ignored during shutdown. */
 function stopRequested(): Promise<void> {
   return new Promise((resolve) => {
     for (const signal of ['SIGINT', 'SIGTERM'] as const) {
--- a/scripts/demo/deployment.ts
+++ b/scripts/demo/deployment.ts
@@ -1,4 +1,4 @@
-/** One deployment of the demo: its processes, its configuration, and how to try it. */
+/** Runs one deployment of the demo: its processes, its configuration, and a first request. */
 
 import { createHash } from 'node:crypto';
 import { readFile } from 'node:fs/promises';
@@ -48,12 +48,12 @@
   readonly keys: readonly ExampleKey[];
 }
 
-/** A key of the example with what it grants. */
+/** An API key of the example and what it grants. */
 export interface DemoKey extends ExampleKey {
   readonly key: string;
 }
 
-/** The key of the platform's operator; the example holds its hash. */
+/** The platform operator's key; the example contains only its hash. */
 export function operatorKey({ name }: DeploymentSpec): string {
   return `demo-${name}-operator`;
 }
@@ -106,7 +106,7 @@
   );
 }
 
-/** Starts all processes of a deployment; nothing is configured yet. */
+/** Starts all processes of a deployment, without a configuration. */
 export async function startDeployment(spec: DeploymentSpec, daemons: number): Promise<Deployment> {
   const platform = await start('platform', ['--listen', ANY_PORT]);
   const address = addressOf(platform);
@@ -118,7 +118,7 @@
   return { spec, platform, engines, services, daemons: started };
 }
 
-/** The example with the addresses at which the services really listen. */
+/** The example configuration with the actual addresses of the services. */
 async function readExample({ spec, services }: Deployment): Promise<ExampleDocument> {
   const document = parse(await readFile(spec.example, 'utf8')) as ExampleDocument;
   const backends = services.map(addressOf);
@@ -129,13 +129,13 @@
   return { ...document, services: Object.fromEntries(placed) as ExampleDocument['services'] };
 }
 
-/** The keys of the example, of which it holds the hashes alone. */
+/** The keys of the example, which contains only their hashes. */
 function keysOf({ name }: DeploymentSpec, { keys }: ExampleDocument): DemoKey[] {
   const callers = keys.filter(({ role }) => role === 'caller');
   return callers.map((grant, i) => ({ ...grant, key: `demo-${name}-${i + 1}` }));
 }
 
-/** Submits the example; returns the keys of its callers. */
+/** Submits the example configuration; returns the keys of its callers. */
 export async function configure(deployment: Deployment): Promise<readonly DemoKey[]> {
   const { spec, daemons } = deployment;
   const document = await readExample(deployment);
@@ -149,7 +149,7 @@
   return keysOf(spec, document);
 }
 
-/** Body of the first request to try. */
+/** Body of the first request. */
 export function firstRequest({ model, question }: DeploymentSpec): string {
   return JSON.stringify({ model, stream: true, messages: [{ role: 'user', content: question }] });
 }
@@ -173,12 +173,12 @@
   }
 }
 
-/** Resolves once every daemon answers the first request. */
+/** Resolves once every daemon responds to the first request. */
 export async function untilServing({ spec, daemons }: Deployment, key: string): Promise<void> {
   await Promise.all(daemons.map((daemon) => untilDaemonServes(spec, daemon, key)));
 }
 
-/** Stops the daemons first, so that they finish what runs, then all else. */
+/** Stops the daemons first, so that they finish running requests, then all other processes. */
 export async function stopDeployment(deployment: Deployment): Promise<void> {
   const { daemons, engines, services, platform } = deployment;
   await Promise.all(daemons.map(({ process }) => stop(process)));
--- a/scripts/demo/deployments.ts
+++ b/scripts/demo/deployments.ts
@@ -1,15 +1,15 @@
-/** The two deployments of the demo: places, servers, and the example that configures them. */
+/** Defines the two deployments of the demo: zones, servers and example configuration. */
 
 export interface DeploymentSpec {
   readonly name: 'armor' | 'umurage';
-  /** Availability zones; each has one fabric domain of its own. */
+  /** Availability zones, with one fabric domain each. */
   readonly zones: readonly string[];
-  /** Example configuration, from the root of the project. */
+  /** Path of the example configuration, relative to the project root. */
   readonly example: string;
-  /** A model and a class to try first. */
+  /** Model and class of the first request. */
   readonly model: string;
   readonly question: string;
-  /** Whether the plain service runs a known key only once. */
+  /** Whether the plain service runs a known idempotency key only once. */
   readonly honoursKey: boolean;
 }
 
--- a/scripts/demo/processes.ts
+++ b/scripts/demo/processes.ts
@@ -1,4 +1,4 @@
-/** Programs of the demo as processes of their own, stopped in order at the end. */
+/** Starts the demo's programs as separate processes and stops them in order. */
 
 import { spawn } from 'node:child_process';
 import type { ChildProcess } from 'node:child_process';
@@ -9,15 +9,15 @@
 
 const HOST = '127.0.0.1';
 
-/** A process that said it is ready. */
+/** A process that has reported that it is ready. */
 export interface Started {
   readonly program: string;
   readonly child: ChildProcess;
-  /** What it printed when it was ready. */
+  /** What it printed on becoming ready. */
   readonly ready: Readonly<Record<string, unknown>>;
 }
 
-/** The bundles lie beside the demo's own. */
+/** The bundles are in the same directory as the demo's own. */
 function bundleOf(program: string): string {
   return join(dirname(process.argv[1] ?? ''), `${program}.cjs`);
 }
@@ -30,21 +30,21 @@
   }
 }
 
-/** Every process that runs, so that none is left behind. */
+/** All running processes, so that none outlives the demo. */
 const running = new Set<ChildProcess>();
 
-/** Kills what still runs; for an end out of order. */
+/** Kills all running processes; for an abnormal exit. */
 export function killAll(): void {
   for (const child of running) child.kill('SIGKILL');
 }
 
-/** Starts a program and waits until it is ready; its warnings go to this process's errors. */
+/** Starts a program and waits until it is ready; its warnings go to this process's stderr. */
 export function start(
   program: string,
   args: readonly string[],
   env: Readonly<Record<string, string>> = {},
 ): Promise<Started> {
-  // In a process group of its own: Ctrl-C reaches the demo alone, which stops all in order.
+  // In its own process group, so that Ctrl-C reaches only the demo, which stops all in order.
   const child = spawn(process.execPath, [bundleOf(program), ...args], {
     env: { ...process.env, ...env },
     stdio: ['ignore', 'pipe', 'inherit'],
@@ -64,7 +64,7 @@
   });
 }
 
-/** Asks a process to stop and waits for its end. */
+/** Signals a process to stop and waits for its exit. */
 export function stop({ child }: Started): Promise<void> {
   if (child.exitCode !== null || child.signalCode !== null) return Promise.resolve();
   return new Promise((resolve) => {
@@ -75,7 +75,7 @@
   });
 }
 
-/** Below the range that systems give to outgoing connections, which could take the port meanwhile. */
+/** Below the ephemeral port range, as an outgoing connection could take the port meanwhile. */
 const FIRST_PORT = 20_000;
 const LAST_PORT = 32_000;
 
@@ -93,7 +93,7 @@
   });
 }
 
-/** Ports that were free a moment ago, all different. */
+/** Returns distinct ports that were free when checked. */
 export async function freePorts(count: number): Promise<readonly number[]> {
   const ports = new Set<number>();
   while (ports.size < count) {
