--- a/bench/admission.ts
+++ b/bench/admission.ts
@@ -131,13 +131,13 @@
   }));
   const tenants = [...others, noisy];
   const results = runLoop({ ...BASE, admission: VARIANTS[variant] ?? {}, slots, tenants, seed });
-  const rest = results.filter(({ name }) => name !== 'noisy');
+  const neighbours = results.filter(({ name }) => name !== 'noisy');
   return {
     p95Ms: quantile(
-      rest.flatMap((r) => r.latenciesMs),
+      neighbours.flatMap((r) => r.latenciesMs),
       0.95,
     ),
-    inTime: inTimeOf(rest),
+    inTime: inTimeOf(neighbours),
   };
 }
 
--- a/bench/config-propagation.ts
+++ b/bench/config-propagation.ts
@@ -49,15 +49,15 @@
 }
 
 /** Wraps the table of one daemon: during a partition, calls hang until their timeout. */
-function behindCut(table: Table, isCut: () => boolean): Table {
+function withPartition(table: Table, isPartitioned: () => boolean): Table {
   const lost = <T>(step: string) =>
     ResultAsync.fromSafePromise(sleep(TABLE_TIMEOUT_MS)).andThen(() =>
       errAsync<T, ReturnType<typeof fail>>(fail('store-unavailable', 'cut off', { step })),
     );
   return {
-    read: (keys) => (isCut() ? lost('read') : table.read(keys)),
-    scan: (prefix, after) => (isCut() ? lost('scan') : table.scan(prefix, after)),
-    commit: (transaction) => (isCut() ? lost('commit') : table.commit(transaction)),
+    read: (keys) => (isPartitioned() ? lost('read') : table.read(keys)),
+    scan: (prefix, after) => (isPartitioned() ? lost('scan') : table.scan(prefix, after)),
+    commit: (transaction) => (isPartitioned() ? lost('commit') : table.commit(transaction)),
   };
 }
 
@@ -65,7 +65,7 @@
   return { publish: ignore, received: gossip.received, entries: (topic) => gossip.entries(topic) };
 }
 
-function noteReached(reached: Map<number, number>, version: number): void {
+function recordReached(reached: Map<number, number>, version: number): void {
   const now = performance.now();
   for (let v = version; v > 0 && !reached.has(v); v -= 1) reached.set(v, now);
 }
@@ -79,7 +79,7 @@
       cut: false,
       config: createConfig({
         self: member.id,
-        table: behindCut(createTable({ address: platform.address }), () => daemon.cut),
+        table: withPartition(createTable({ address: platform.address }), () => daemon.cut),
         gossip: push ? member.part.gossip : withoutPush(member.part.gossip),
         direct: member.part.direct,
         peers: () => member.part.peers(),
@@ -90,7 +90,7 @@
     };
     daemon.config.changes.subscribe(({ version }) => {
       member.configVersion = version;
-      noteReached(daemon.reached, version);
+      recordReached(daemon.reached, version);
     });
     return daemon;
   });
@@ -117,7 +117,8 @@
     ifVersion: (version - 1) as ConfigVersion,
     document: documentWith(1 + (version % 9)),
   });
-  if (done === undefined || done.isErr()) throw done?.error ?? new RangeError('no daemon');
+  if (done === undefined || done.isErr())
+    throw done?.error ?? new RangeError('the fleet has no daemons');
   return performance.now();
 }
 
@@ -151,7 +152,7 @@
   const system = await startSystem(true);
   const last = system.daemons.at(-1);
   const id = system.fleet.daemons.at(-1)?.id ?? '';
-  if (!last) throw new RangeError('no daemon');
+  if (!last) throw new RangeError('the fleet has no daemons');
   const times: number[] = [];
   let version = 0;
   for (let round = 0; round < ROUNDS; round += 1) {
--- a/bench/groups-loop.ts
+++ b/bench/groups-loop.ts
@@ -48,7 +48,7 @@
 const MS = 1_000;
 const SECONDS_A_DAY = 86_400;
 /** Seconds without a change after which the simulation uses longer steps. */
-const QUIET_S = 20;
+const UNCHANGED_S = 20;
 const SLOW_STEP_S = 10;
 /** Members that the weight store serves concurrently at full rate; more share its bandwidth. */
 const STORE_PARALLEL = 4;
@@ -153,7 +153,7 @@
   else tell(loop, { kind: 'silent', instance, sentAt });
 }
 
-function strike(loop: Loop, fault: Fault, returns: Return[]): void {
+function injectFault(loop: Loop, fault: Fault, returns: Return[]): void {
   const all = [...loop.engines.values()];
   const one = all[fault.pick % all.length];
   const struck = fault.kind === 'dark' ? all : one ? [one] : [];
@@ -229,18 +229,18 @@
   const faults = [...options.faults];
   const beginAt = TIMES.load * 10;
   const endAt = options.days * SECONDS_A_DAY;
-  let quietS = 0;
+  let unchangedS = 0;
   while (loop.now < endAt) {
     loop.changed = false;
     bringBack(loop, returns);
     for (; faults[0] && faults[0].at <= loop.now; faults.shift()) {
-      if (loop.now >= beginAt) strike(loop, faults[0], returns);
+      if (loop.now >= beginAt) injectFault(loop, faults[0], returns);
       loop.changed = true;
     }
     look(loop);
-    quietS = loop.changed ? 0 : quietS + 1;
+    unchangedS = loop.changed ? 0 : unchangedS + 1;
     const next = Math.min(faults[0]?.at ?? endAt, ...returns.map(({ at }) => at), endAt);
-    const step = stepFrom(loop, quietS, next);
+    const step = stepFrom(loop, unchangedS, next);
     const counted = loop.now >= beginAt ? step : 0;
     measure(loop, options.models, sums, counted);
     loop.now += step;
@@ -249,12 +249,12 @@
 }
 
 /** Step of one second; longer after a period without changes while no load is in progress. */
-function stepFrom(loop: Loop, quietS: number, next: number): number {
+function stepFrom(loop: Loop, unchangedS: number, next: number): number {
   const loading = [...loop.engines.values()].some((engine) => engine.loading);
-  if (quietS < QUIET_S || loading) return 1;
-  const whole = groupsOf(loop.state).every((row) => isServing(loop, row));
-  const most = whole ? Infinity : SLOW_STEP_S;
-  return Math.max(1, Math.min(most, Math.ceil(next - loop.now)));
+  if (unchangedS < UNCHANGED_S || loading) return 1;
+  const isComplete = groupsOf(loop.state).every((row) => isServing(loop, row));
+  const maxStepS = isComplete ? Infinity : SLOW_STEP_S;
+  return Math.max(1, Math.min(maxStepS, Math.ceil(next - loop.now)));
 }
 
 export function modelOf(id: string, change: Omit<ModelPlan, 'id'>): ModelPlan {
--- a/bench/main.ts
+++ b/bench/main.ts
@@ -43,7 +43,7 @@
     const benchmark = BENCHMARKS[name];
     if (benchmark === undefined) {
       process.stderr.write(
-        `no benchmark ${name}; there are: ${Object.keys(BENCHMARKS).join(', ')}\n`,
+        `unknown benchmark ${name}; available: ${Object.keys(BENCHMARKS).join(', ')}\n`,
       );
       process.exitCode = 2;
       return;
--- a/bench/membership-slopes.ts
+++ b/bench/membership-slopes.ts
@@ -121,7 +121,7 @@
 }
 
 /** One tick, with responses to everything sent; there are ten ticks a second. */
-function quietTick(holder: Holder): void {
+function idleTick(holder: Holder): void {
   holder.nowMs += TICK_MS;
   const step = reduceMembership(holder.state, { kind: 'tick' }, contextAt(holder.nowMs));
   holder.state = step.state;
@@ -136,7 +136,7 @@
   const holder = holderOf(size, 0);
   const bytes = Math.round((heapBytes() - before) / size);
   const us = usEach(TICKS, () => {
-    quietTick(holder);
+    idleTick(holder);
   });
   const digest: Message = { kind: 'digest', salt: 1, buckets: new Array<number>(64).fill(1) };
   const syncUs = usEach(STEPS, () => {
--- a/bench/membership-traffic.ts
+++ b/bench/membership-traffic.ts
@@ -61,7 +61,8 @@
   const size = fleet.daemons.length;
   const from = performance.now();
   while (!fleet.daemons.every(({ part }) => part.peers().length === size)) {
-    if (performance.now() - from > JOIN_MS) throw new Error(`${size} daemons never met`);
+    if (performance.now() - from > JOIN_MS)
+      throw new Error(`${size} daemons did not all discover each other in time`);
     await sleep(50);
   }
   return round(performance.now() - from, 0);
@@ -71,17 +72,22 @@
   const fleet = await startFleet({ count: size, settings: {}, seeds: 3 });
   const joinedMs = await joinMs(fleet);
   await sleep(SETTLE_MS);
-  const rest = await measure('at rest', fleet, () => undefined);
-  let turn = 0;
+  const idle = await measure('at rest', fleet, () => undefined);
+  let published = 0;
   const busy = await measure('ten entries a second in all', fleet, () => {
-    turn += 1;
-    const daemon = fleet.daemons[turn % size];
+    published += 1;
+    const daemon = fleet.daemons[published % size];
     const expiresAt = later(Date.now() as EpochTime, TTL_MS);
-    daemon?.part.gossip.publish('topic', 'key', { domain: 'domain-1', wellUntil: turn }, expiresAt);
+    daemon?.part.gossip.publish(
+      'topic',
+      'key',
+      { domain: 'domain-1', wellUntil: published },
+      expiresAt,
+    );
   });
   await fleet.stop();
   const joined = { role: 'peer', unit: 'all started at once', size, joinedMs };
-  return [joined, rest, busy];
+  return [joined, idle, busy];
 }
 
 export async function benchMembershipTraffic(): Promise<readonly object[]> {
--- a/bench/quarantine-loop.ts
+++ b/bench/quarantine-loop.ts
@@ -232,7 +232,7 @@
     send({ fingerprint: `f${serial}` as Fingerprint, isBad, crashesAfterMs, sends: 0 });
   };
 
-  const darken = (): void => {
+  const losePower = (): void => {
     const domain = anyOf(groups)?.domain;
     for (const group of groups.filter((each) => each.domain === domain)) {
       after(random.next() * 400, () => {
@@ -258,7 +258,7 @@
     if (happens(WORLD.badEveryMs)) arrive(true);
     const crashed = happens(WORLD.ownCrashEveryMs) ? anyOf(groups) : undefined;
     if (crashed !== undefined) lose(crashed);
-    if (happens(WORLD.domainDarkEveryMs)) darken();
+    if (happens(WORLD.domainDarkEveryMs)) losePower();
     for (const state of states) decideDueStrikes(state, ctx());
   }
   return result;
--- a/bench/relay.ts
+++ b/bench/relay.ts
@@ -113,12 +113,12 @@
 
 async function setUpOn(system: System): Promise<Setup> {
   const [first] = system.daemons;
-  if (first === undefined) throw new Error('no daemon');
+  if (first === undefined) throw new Error('the system has no daemons');
   await submit(first, documentWithLimits(system));
   await untilServing(system);
   const backends = await until(() => allBackends(system), 'every group serves');
   const [backend] = backends;
-  if (backend === undefined) throw new Error('no group');
+  if (backend === undefined) throw new Error('no group has formed');
   const { relay, child } = await startBare(backends);
   const caller = createCaller();
   const headers = {
--- a/scripts/demo/deployment.ts
+++ b/scripts/demo/deployment.ts
@@ -159,7 +159,7 @@
   { id, addresses }: Daemon,
   key: string,
 ): Promise<void> {
-  const givenUpAt = Date.now() + SERVING_WITHIN_MS;
+  const deadline = Date.now() + SERVING_WITHIN_MS;
   for (;;) {
     const res = await fetch(`http://${addresses.callers}/v1/chat/completions`, {
       method: 'POST',
@@ -168,7 +168,7 @@
     });
     const text = await res.text();
     if (res.ok) return;
-    if (Date.now() > givenUpAt) throw new Error(`${id} does not serve: ${text}`);
+    if (Date.now() > deadline) throw new Error(`${id} does not serve requests: ${text}`);
     await delay(TRY_EVERY_MS);
   }
 }
--- a/scripts/demo/processes.ts
+++ b/scripts/demo/processes.ts
@@ -54,7 +54,7 @@
   child.once('exit', () => running.delete(child));
   return new Promise((resolve, reject) => {
     child.once('exit', (code) => {
-      reject(new Error(`${program} ended with ${String(code)} before it was ready`));
+      reject(new Error(`${program} exited with code ${String(code)} before it was ready`));
     });
     createInterface({ input: child.stdout }).on('line', (line) => {
       const ready = parseLine(line);
