--- a/bench/config-propagation.ts
+++ b/bench/config-propagation.ts
@@ -1,7 +1,7 @@
 /**
- * Time from a change's acceptance until it is in force on all of seven daemons, over loopback TCP
- * and the platform's stand-in: with the push working, with every push lost, and after one daemon
- * was cut off from the table and its peers and healed.
+ * Measures the time from the acceptance of a configuration change until all seven daemons apply it,
+ * over loopback TCP and the platform's stand-in: with the push working, with every push lost, and
+ * after a partition of one daemon from the table and its peers has healed.
  */
 
 import { ResultAsync, errAsync } from 'neverthrow';
@@ -30,7 +30,7 @@
 
 interface BenchDaemon {
   readonly config: ConfigPart;
-  /** Instants at which each version was first in force, or a newer one. */
+  /** Time at which each version, or a newer one, first took effect. */
   readonly reached: Map<number, number>;
   cut: boolean;
 }
@@ -48,16 +48,16 @@
   return new Promise((resolve) => setTimeout(resolve, ms));
 }
 
-/** The table as a daemon reaches it: while it is cut off, calls hang until their timeout. */
-function behindCut(table: Table, isCut: () => boolean): Table {
+/** Wraps the table of one daemon: during a partition, calls hang until their timeout. */
+function withPartition(table: Table, isPartitioned: () => boolean): Table {
   const lost = <T>(step: string) =>
     ResultAsync.fromSafePromise(sleep(TABLE_TIMEOUT_MS)).andThen(() =>
       errAsync<T, ReturnType<typeof fail>>(fail('store-unavailable', 'cut off', { step })),
     );
   return {
-    read: (keys) => (isCut() ? lost('read') : table.read(keys)),
-    scan: (prefix, after) => (isCut() ? lost('scan') : table.scan(prefix, after)),
-    commit: (transaction) => (isCut() ? lost('commit') : table.commit(transaction)),
+    read: (keys) => (isPartitioned() ? lost('read') : table.read(keys)),
+    scan: (prefix, after) => (isPartitioned() ? lost('scan') : table.scan(prefix, after)),
+    commit: (transaction) => (isPartitioned() ? lost('commit') : table.commit(transaction)),
   };
 }
 
@@ -65,7 +65,7 @@
   return { publish: ignore, received: gossip.received, entries: (topic) => gossip.entries(topic) };
 }
 
-function noteReached(reached: Map<number, number>, version: number): void {
+function recordReached(reached: Map<number, number>, version: number): void {
   const now = performance.now();
   for (let v = version; v > 0 && !reached.has(v); v -= 1) reached.set(v, now);
 }
@@ -79,7 +79,7 @@
       cut: false,
       config: createConfig({
         self: member.id,
-        table: behindCut(createTable({ address: platform.address }), () => daemon.cut),
+        table: withPartition(createTable({ address: platform.address }), () => daemon.cut),
         gossip: push ? member.part.gossip : withoutPush(member.part.gossip),
         direct: member.part.direct,
         peers: () => member.part.peers(),
@@ -90,7 +90,7 @@
     };
     daemon.config.changes.subscribe(({ version }) => {
       member.configVersion = version;
-      noteReached(daemon.reached, version);
+      recordReached(daemon.reached, version);
     });
     return daemon;
   });
@@ -109,7 +109,7 @@
   };
 }
 
-/** Submits through one daemon after the other; the instant of each acceptance. */
+/** Submits a change through the daemons in rotation; returns the time of its acceptance. */
 async function change(system: System, version: number, among: number): Promise<number> {
   const daemon = system.daemons[version % among];
   const done = await daemon?.config.submit({
@@ -117,7 +117,8 @@
     ifVersion: (version - 1) as ConfigVersion,
     document: documentWith(1 + (version % 9)),
   });
-  if (done === undefined || done.isErr()) throw done?.error ?? new RangeError('no daemon');
+  if (done === undefined || done.isErr())
+    throw done?.error ?? new RangeError('the fleet has no daemons');
   return performance.now();
 }
 
@@ -132,7 +133,7 @@
   return Math.max(0, last - from);
 }
 
-/** `among`: daemons that submit; with pushes lost one alone, since each learns of its own changes. */
+/** `among`: number of submitting daemons; 1 if pushes are lost, as each knows its own changes. */
 async function measureSteady(push: boolean, among: number): Promise<readonly number[]> {
   const system = await startSystem(push);
   const accepted: number[] = [];
@@ -146,12 +147,12 @@
   return times;
 }
 
-/** After each cut of the last daemon: the time from its healing to the newest version. */
+/** Time from the end of each partition of the last daemon until it applies the newest version. */
 async function measureHealed(): Promise<readonly number[]> {
   const system = await startSystem(true);
   const last = system.daemons.at(-1);
   const id = system.fleet.daemons.at(-1)?.id ?? '';
-  if (!last) throw new RangeError('no daemon');
+  if (!last) throw new RangeError('the fleet has no daemons');
   const times: number[] = [];
   let version = 0;
   for (let round = 0; round < ROUNDS; round += 1) {
--- a/bench/groups-loop.ts
+++ b/bench/groups-loop.ts
@@ -1,4 +1,4 @@
-/** A small loop around the pure domain reducer: one domain, one holder, engines with fixed times. */
+/** Simulates the domain reducer with one domain, one holder and engines with fixed durations. */
 
 import { createDomain, reduceDomain } from '../src/core/groups/domain';
 import type {
@@ -34,7 +34,7 @@
   readonly settings?: Partial<DomainSettings>;
 }
 
-/** Sums over the whole history. */
+/** Totals over the complete history. */
 export interface LoopResult {
   /** Seconds in which a wanted group could not serve, by model. */
   readonly downtimeS: Readonly<Record<string, number>>;
@@ -47,10 +47,10 @@
 const DOMAIN = 'd' as DomainId;
 const MS = 1_000;
 const SECONDS_A_DAY = 86_400;
-/** Seconds without a change after which time passes faster. */
-const QUIET_S = 20;
+/** Seconds without a change after which the simulation uses longer steps. */
+const UNCHANGED_S = 20;
 const SLOW_STEP_S = 10;
-/** Members that the weight store serves at full rate at a time; more share it. */
+/** Members that the weight store serves concurrently at full rate; more share its bandwidth. */
 const STORE_PARALLEL = 4;
 
 export interface Loop {
@@ -62,7 +62,7 @@
   version: number;
 }
 
-/** A domain whose instances are all idle, held by one daemon for good. */
+/** A domain of idle instances, permanently held by one daemon. */
 export function createLoop({
   instances,
   models,
@@ -153,7 +153,7 @@
   else tell(loop, { kind: 'silent', instance, sentAt });
 }
 
-function strike(loop: Loop, fault: Fault, returns: Return[]): void {
+function injectFault(loop: Loop, fault: Fault, returns: Return[]): void {
   const all = [...loop.engines.values()];
   const one = all[fault.pick % all.length];
   const struck = fault.kind === 'dark' ? all : one ? [one] : [];
@@ -167,7 +167,7 @@
 interface Return {
   readonly engine: FakeEngine;
   readonly at: number;
-  /** Comes back as a new process without weights. */
+  /** Restarts as a new process without weights. */
   readonly fresh: boolean;
 }
 
@@ -180,7 +180,7 @@
   }
 }
 
-/** By the engines' own account. */
+/** According to the engines' own state. */
 export function isServing(loop: Loop, row: GroupRow): boolean {
   if (row.phase === 'draining') return false;
   return row.members.every(({ instance }) => {
@@ -194,7 +194,7 @@
   strandedS: number;
 }
 
-/** Adds what is lacking now, by the engines' own account, for `seconds`. */
+/** Accumulates the current shortfall, according to the engines' own state, over `seconds`. */
 function measure(loop: Loop, models: readonly ModelPlan[], sums: Sums, seconds: number): boolean {
   const serving = groupsOf(loop.state).filter((row) => isServing(loop, row));
   const used = new Set(serving.flatMap((row) => row.members.map((member) => member.instance)));
@@ -221,7 +221,7 @@
   tell(loop, { kind: 'tick' });
 }
 
-/** Plays a history; measures from when the first groups have had time to form. */
+/** Replays a history; measurement starts once the first groups have had time to form. */
 export function playHistory(options: LoopOptions): LoopResult {
   const loop = createLoop(options);
   const sums: Sums = { downtimeS: {}, strandedS: 0 };
@@ -229,18 +229,18 @@
   const faults = [...options.faults];
   const beginAt = TIMES.load * 10;
   const endAt = options.days * SECONDS_A_DAY;
-  let quietS = 0;
+  let unchangedS = 0;
   while (loop.now < endAt) {
     loop.changed = false;
     bringBack(loop, returns);
     for (; faults[0] && faults[0].at <= loop.now; faults.shift()) {
-      if (loop.now >= beginAt) strike(loop, faults[0], returns);
+      if (loop.now >= beginAt) injectFault(loop, faults[0], returns);
       loop.changed = true;
     }
     look(loop);
-    quietS = loop.changed ? 0 : quietS + 1;
+    unchangedS = loop.changed ? 0 : unchangedS + 1;
     const next = Math.min(faults[0]?.at ?? endAt, ...returns.map(({ at }) => at), endAt);
-    const step = stepFrom(loop, quietS, next);
+    const step = stepFrom(loop, unchangedS, next);
     const counted = loop.now >= beginAt ? step : 0;
     measure(loop, options.models, sums, counted);
     loop.now += step;
@@ -248,13 +248,13 @@
   return { ...sums, loads: loop.loads, faults: options.faults.length };
 }
 
-/** One second; longer once nothing has changed for a while, and no load is under way. */
-function stepFrom(loop: Loop, quietS: number, next: number): number {
+/** Step of one second; longer after a period without changes while no load is in progress. */
+function stepFrom(loop: Loop, unchangedS: number, next: number): number {
   const loading = [...loop.engines.values()].some((engine) => engine.loading);
-  if (quietS < QUIET_S || loading) return 1;
-  const whole = groupsOf(loop.state).every((row) => isServing(loop, row));
-  const most = whole ? Infinity : SLOW_STEP_S;
-  return Math.max(1, Math.min(most, Math.ceil(next - loop.now)));
+  if (unchangedS < UNCHANGED_S || loading) return 1;
+  const isComplete = groupsOf(loop.state).every((row) => isServing(loop, row));
+  const maxStepS = isComplete ? Infinity : SLOW_STEP_S;
+  return Math.max(1, Math.min(maxStepS, Math.ceil(next - loop.now)));
 }
 
 export function modelOf(id: string, change: Omit<ModelPlan, 'id'>): ModelPlan {
