--- a/tests/soak/callers.ts
+++ b/tests/soak/callers.ts
@@ -1,4 +1,4 @@
-/** Callers that keep asking for as long as a soak runs, on connections that they keep. */
+/** Callers that send requests over keep-alive connections for as long as a soak runs. */
 
 import { Agent } from 'node:http';
 
@@ -12,69 +12,70 @@
 
 export type Kind = 'stream' | 'safe' | 'unsafe';
 
-/** What one call asked for, and what came of it. */
+/** A request and its outcome. */
 export interface Call {
   readonly requestId: string;
   readonly kind: Kind;
   readonly body: string;
   readonly events: number;
   readonly daemon: string;
-  /** Undefined where the connection ended without an answer, or the caller left. */
+  /** Undefined if the connection closed without a response or the caller timed out. */
   reply: Reply | undefined;
 }
 
 const KINDS: readonly Kind[] = ['stream', 'stream', 'safe', 'unsafe'];
-const LONGEST_STREAM = 80;
-const REST_MS = 25;
-const WAIT_MS = 5_000;
-/** Refused callers come back after this. */
-const REFUSED_REST_MS = 120;
+const MAX_STREAM_EVENTS = 80;
+const REQUEST_INTERVAL_MS = 25;
+const TIMEOUT_MS = 5_000;
+/** Delay before the next request after any response but 200. */
+const FAILURE_RETRY_MS = 120;
 
 export interface Callers {
   readonly calls: readonly Call[];
-  /** Resolves once every caller has its last answer. */
+  /** Resolves once every caller has finished its last request. */
   stop(): Promise<void>;
 }
 
+/** Starts `perDaemon` callers at each daemon; `random` chooses their requests. */
 export function startCallers(world: World, random: Random, perDaemon: number): Callers {
   const calls: Call[] = [];
   let isStopping = false;
 
-  const describe = (daemon: string): Call => {
+  const createCall = (daemon: string): Call => {
     const kind = KINDS[Math.floor(random.next() * KINDS.length)] ?? 'safe';
     const requestId = `${kind}-${calls.length}`;
-    const events = 1 + Math.floor(random.next() * LONGEST_STREAM);
+    const events = 1 + Math.floor(random.next() * MAX_STREAM_EVENTS);
     const body = `events=${events}&of=${requestId}`;
     return { requestId, kind, body, events, daemon, reply: undefined };
   };
 
-  const callOnce = async (call: Call, front: string, agent: Agent): Promise<void> => {
+  const sendCall = async (call: Call, front: string, agent: Agent): Promise<void> => {
     const { requestId, kind, body } = call;
     const model = random.next() < 0.5 ? LARGE : SMALL;
-    const answer = callDaemon(front, `/${kind}/x`, {
+    const response = callDaemon(front, `/${kind}/x`, {
       requestId,
       key: KEY,
       model,
       body,
       agent,
-      waitMs: WAIT_MS,
+      waitMs: TIMEOUT_MS,
     });
-    // Connections end with their process, and callers do not wait beyond their deadline.
-    const none = pause(WAIT_MS + 500).then(() => undefined);
-    call.reply = await Promise.race([answer.catch(() => undefined), none]);
+    // A connection closes when its daemon exits; callers do not wait past their deadline.
+    const timeout = pause(TIMEOUT_MS + 500).then(() => undefined);
+    call.reply = await Promise.race([response.catch(() => undefined), timeout]);
   };
 
   const runCaller = async (front: string, daemon: string): Promise<void> => {
     let agent = new Agent({ keepAlive: true, maxSockets: 1 });
     while (!isStopping) {
-      const call = describe(daemon);
+      const call = createCall(daemon);
       calls.push(call);
-      await callOnce(call, front, agent);
+      await sendCall(call, front, agent);
       if (call.reply === undefined) {
         agent.destroy();
         agent = new Agent({ keepAlive: true, maxSockets: 1 });
       }
-      await pause(call.reply?.status === 200 ? REST_MS : REFUSED_REST_MS);
+      await pause(call.reply?.status === 200 ? REQUEST_INTERVAL_MS : FAILURE_RETRY_MS);
     }
     agent.destroy();
   };
--- a/tests/soak/faults.ts
+++ b/tests/soak/faults.ts
@@ -1,4 +1,4 @@
-/** The faults that a soak injects, by name. Each begins at once and gives the way to end it. */
+/** The faults that a soak injects, by name. Each starts at once and returns a function that ends it. */
 
 import type { Random } from '../../src/ports/runtime';
 import { TABLES } from '../../platform/names';
@@ -14,16 +14,16 @@
 type EndFault = () => void;
 type Fault = (ctx: FaultContext) => EndFault;
 
-const NOTHING: EndFault = () => undefined;
-/** Longer than the daemons' own time-outs for the store and for connections. */
+const NO_CLEANUP: EndFault = () => undefined;
+/** Exceeds the daemons' store and connection timeouts. */
 const LONG_DELAY_MS = 900;
 const SHORT_DELAY_MS = 60;
-const LONGEST_AWAY_MS = 800;
-const OLDEST_COPY_MS = 5_000;
+const MAX_OUTAGE_MS = 800;
+const MAX_COPY_AGE_MS = 5_000;
 
 function pick<T>(random: Random, items: readonly T[]): T {
   const found = items[Math.floor(random.next() * items.length)];
-  if (found === undefined) throw new Error('nothing to pick from');
+  if (found === undefined) throw new Error('cannot pick from an empty list');
   return found;
 }
 
@@ -34,18 +34,18 @@
   };
 }
 
-/** A fault of one link, or of a few links of the same kind. */
-function ofLinks(
+/** A fault on one or more links of the same kind. */
+function linkFault(
   choose: (ctx: FaultContext) => readonly Proxy[],
   describeFault: (random: Random) => LinkFault,
 ): Fault {
   return (ctx) => disturb(choose(ctx), describeFault(ctx.random));
 }
 
-function resetOf(choose: (ctx: FaultContext) => readonly Proxy[]): Fault {
+function resetFault(choose: (ctx: FaultContext) => readonly Proxy[]): Fault {
   return (ctx) => {
     for (const proxy of choose(ctx)) proxy.reset();
-    return NOTHING;
+    return NO_CLEANUP;
   };
 }
 
@@ -58,16 +58,16 @@
   pick(random, world.daemons).toPeers,
 ];
 const serverLinks = ({ world, random }: FaultContext): readonly Proxy[] => {
-  const all = [...world.servers.values()].slice(0, serversInUse(world));
+  const all = [...world.servers.values()].slice(0, serverCount(world));
   return [pick(random, all), pick(random, all), pick(random, all)];
 };
 
-function serversInUse({ platform }: World): number {
+function serverCount({ platform }: World): number {
   return platform.fleet.servers.size;
 }
 
 const silence = (): LinkFault => SILENT;
-const oneWay = (random: Random): LinkFault => ({
+const oneWaySilence = (random: Random): LinkFault => ({
   silent: [random.next() < 0.5 ? 'to-target' : 'from-target'],
   delayMs: 0,
 });
@@ -89,7 +89,7 @@
   };
 }
 
-/** Takes members of groups down for good; others come in their place. */
+/** Kills group members permanently; replacement servers start when the fault ends. */
 function killServers({ world, random }: FaultContext, count: number): EndFault {
   const alive = [...world.platform.fleet.servers.values()].filter(
     ({ isAlive, joined }) => isAlive && joined !== undefined,
@@ -102,13 +102,13 @@
 }
 
 const COMMON_FAULTS: Readonly<Record<string, Fault>> = {
-  'store-link-silent': ofLinks(storeLink, silence),
-  'store-link-one-way': ofLinks(storeLink, oneWay),
-  'store-link-slow': ofLinks(storeLink, delay),
-  'store-link-reset': resetOf(storeLink),
-  'store-silent': ofLinks(allStoreLinks, silence),
-  'store-slow': ofLinks(allStoreLinks, delay),
-  'store-resets': resetOf(allStoreLinks),
+  'store-link-silent': linkFault(storeLink, silence),
+  'store-link-one-way': linkFault(storeLink, oneWaySilence),
+  'store-link-slow': linkFault(storeLink, delay),
+  'store-link-reset': resetFault(storeLink),
+  'store-silent': linkFault(allStoreLinks, silence),
+  'store-slow': linkFault(allStoreLinks, delay),
+  'store-resets': resetFault(allStoreLinks),
   'store-down': ({ world }) => {
     world.platform.store.faults.isDown = true;
     return () => (world.platform.store.faults.isDown = false);
@@ -119,104 +119,104 @@
   },
   'store-forgets': ({ world }) => {
     world.platform.store.compact();
-    return NOTHING;
+    return NO_CLEANUP;
   },
-  'peer-links-silent': ofLinks(peerLinks, silence),
-  'peer-links-one-way': ofLinks(peerLinks, oneWay),
-  'peer-links-slow': ofLinks(peerLinks, delay),
-  'peer-links-reset': resetOf(peerLinks),
-  'server-links-silent': ofLinks(serverLinks, silence),
-  'server-links-one-way': ofLinks(serverLinks, oneWay),
-  'server-links-slow': ofLinks(serverLinks, delay),
-  'server-links-reset': resetOf(serverLinks),
+  'peer-links-silent': linkFault(peerLinks, silence),
+  'peer-links-one-way': linkFault(peerLinks, oneWaySilence),
+  'peer-links-slow': linkFault(peerLinks, delay),
+  'peer-links-reset': resetFault(peerLinks),
+  'server-links-silent': linkFault(serverLinks, silence),
+  'server-links-one-way': linkFault(serverLinks, oneWaySilence),
+  'server-links-slow': linkFault(serverLinks, delay),
+  'server-links-reset': resetFault(serverLinks),
   'server-lost': (ctx) => killServers(ctx, 1),
   'servers-lost': (ctx) => killServers(ctx, 4),
   'answers-spoiled': ({ world }) => {
     Object.assign(world.platform.plainFaults, { cutAnswers: 3, failAnswers: 3, refuse: 3 });
-    return NOTHING;
+    return NO_CLEANUP;
   },
   'daemon-killed': ({ world, random }) => {
     kill(pick(random, world.daemons));
-    return NOTHING;
+    return NO_CLEANUP;
   },
   'daemons-killed': ({ world }) => {
     world.daemons.forEach(kill);
-    return NOTHING;
+    return NO_CLEANUP;
   },
   'daemon-paused': ({ world, random }) => pauseProcess(pick(random, world.daemons)),
   'daemon-stopped': ({ world, random }) => {
     const daemon = pick(random, world.daemons);
     daemon.meantEnd ??= 'stopped';
     daemon.process.kill('SIGTERM');
-    return NOTHING;
+    return NO_CLEANUP;
   },
   'daemon-reloaded': ({ world, random }) => {
     pick(random, world.daemons).process.kill('SIGHUP');
-    return NOTHING;
+    return NO_CLEANUP;
   },
   'route-added': ({ world }) => {
     world.addRoute();
-    return NOTHING;
+    return NO_CLEANUP;
   },
   'key-removed': ({ world }) => {
     world.removeKey();
-    return NOTHING;
+    return NO_CLEANUP;
   },
 };
 
 /**
- * Faults of the servers' own entries. They are drawn apart from the others, so that the schedules of
- * seeds that once showed a fault stay as they were.
+ * Faults in the servers' store entries. They are scheduled separately, so that the schedules of
+ * seeds that once found a fault do not change.
  */
 const ENTRY_FAULTS: Readonly<Record<string, Fault>> = {
   'server-restarted': ({ world, random }) => {
     const { fleet } = world.platform;
     const alive = [...fleet.servers.values()].filter((server) => server.isAlive);
     fleet.restart(pick(random, alive).id);
-    return NOTHING;
+    return NO_CLEANUP;
   },
   'entry-spoiled': ({ world, random }) => {
     const { fleet, store } = world.platform;
     const { name } = pick(random, [...fleet.servers.values()]);
     store.put(TABLES.servers, name, { state: 'unheard-of', address: random.next() });
-    return NOTHING;
+    return NO_CLEANUP;
   },
   'entry-of-stranger': ({ world }) => {
     const row = { service: 'nobody', state: 'ready', address: 'nowhere', zone: 1 };
     world.platform.store.put(TABLES.servers, 'stranger', row);
-    return NOTHING;
+    return NO_CLEANUP;
   },
 };
 
-function muteOf(choose: (ctx: FaultContext) => readonly Proxy[]): Fault {
+function muteFault(choose: (ctx: FaultContext) => readonly Proxy[]): Fault {
   return (ctx) => {
     for (const proxy of choose(ctx)) proxy.mute();
-    return NOTHING;
+    return NO_CLEANUP;
   };
 }
 
 const allPeerLinks = ({ world }: FaultContext): readonly Proxy[] =>
   world.daemons.map(({ toPeers }) => toPeers);
 
-/** What hides the operator's changes from daemons without an error. They are drawn apart as well. */
+/** Faults that hide configuration changes from daemons without an error. Scheduled separately as well. */
 export const SILENCES: Readonly<Record<string, Fault>> = {
-  'store-silent': ofLinks(allStoreLinks, silence),
-  'store-link-silent': ofLinks(storeLink, silence),
-  'store-one-way': ofLinks(allStoreLinks, oneWay),
-  'store-connections-muted': muteOf(allStoreLinks),
-  'store-connection-muted': muteOf(storeLink),
-  'peer-connections-muted': muteOf(allPeerLinks),
-  'peer-links-silent': ofLinks(allPeerLinks, silence),
+  'store-silent': linkFault(allStoreLinks, silence),
+  'store-link-silent': linkFault(storeLink, silence),
+  'store-one-way': linkFault(allStoreLinks, oneWaySilence),
+  'store-connections-muted': muteFault(allStoreLinks),
+  'store-connection-muted': muteFault(storeLink),
+  'peer-connections-muted': muteFault(allPeerLinks),
+  'peer-links-silent': linkFault(allPeerLinks, silence),
   'daemon-paused': ({ world, random }) => pauseProcess(pick(random, world.daemons)),
 };
 
-/** Returns of the store from an older copy. They are drawn apart as well. */
+/** Restores of the store from an older copy. Scheduled separately as well. */
 const RETURN_FAULTS: Readonly<Record<string, Fault>> = {
   'store-returns': ({ world, random }) => {
-    const awayMs = random.next() * LONGEST_AWAY_MS;
-    const copyAgeMs = random.next() * OLDEST_COPY_MS;
+    const awayMs = random.next() * MAX_OUTAGE_MS;
+    const copyAgeMs = random.next() * MAX_COPY_AGE_MS;
     void world.platform.returnStore({ awayMs, copyAgeMs });
-    return NOTHING;
+    return NO_CLEANUP;
   },
 };
 
@@ -227,17 +227,17 @@
   ...SILENCES,
 };
 
-/** One fault of a schedule; times are milliseconds from the start of the load. */
+/** A scheduled fault: `at` is in milliseconds from the start of the schedule. */
 export interface PlannedFault {
   readonly name: string;
   readonly at: number;
   readonly forMs: number;
 }
 
-const SHORTEST_MS = 300;
-const LONGEST_MS = 4_000;
+const MIN_FAULT_MS = 300;
+const MAX_FAULT_MS = 4_000;
 
-function drawFaults(
+function scheduleFaults(
   random: Random,
   names: readonly string[],
   count: number,
@@ -246,30 +246,30 @@
   const plan = Array.from({ length: count }, () => ({
     name: pick(random, names),
     at: Math.round(random.next() * durationMs),
-    forMs: Math.round(SHORTEST_MS + random.next() * (LONGEST_MS - SHORTEST_MS)),
+    forMs: Math.round(MIN_FAULT_MS + random.next() * (MAX_FAULT_MS - MIN_FAULT_MS)),
   }));
   return plan.sort((a, b) => a.at - b.at);
 }
 
-/** A schedule of overlapping faults. */
+/** Plans a schedule of overlapping faults. */
 export function planFaults(random: Random, count: number, durationMs: number): PlannedFault[] {
-  return drawFaults(random, Object.keys(COMMON_FAULTS), count, durationMs);
+  return scheduleFaults(random, Object.keys(COMMON_FAULTS), count, durationMs);
 }
 
-/** Silences that overlap, all over by `longestMs`. */
+/** Plans overlapping silent faults that have all ended by `longestMs`. */
 export function planSilences(random: Random, count: number, longestMs: number): PlannedFault[] {
-  return drawFaults(random, Object.keys(SILENCES), count, longestMs / 2).map((fault) => ({
+  return scheduleFaults(random, Object.keys(SILENCES), count, longestMs / 2).map((fault) => ({
     ...fault,
     forMs: Math.min(fault.forMs, longestMs - fault.at),
   }));
 }
 
-/** Faults of the servers' entries that fall between those of a schedule. */
+/** Plans faults in the servers' entries, to be merged into a schedule. */
 export function planEntryFaults(random: Random, count: number, durationMs: number): PlannedFault[] {
-  return drawFaults(random, Object.keys(ENTRY_FAULTS), count, durationMs);
+  return scheduleFaults(random, Object.keys(ENTRY_FAULTS), count, durationMs);
 }
 
-/** Returns of the store that fall between the faults of a schedule. */
+/** Plans restores of the store, to be merged into a schedule. */
 export function planReturns(random: Random, count: number, durationMs: number): PlannedFault[] {
-  return drawFaults(random, Object.keys(RETURN_FAULTS), count, durationMs);
+  return scheduleFaults(random, Object.keys(RETURN_FAULTS), count, durationMs);
 }
--- a/tests/soak/judge.ts
+++ b/tests/soak/judge.ts
@@ -1,4 +1,4 @@
-/** What callers and backend servers saw, held against what the system promises. */
+/** Checks what callers and backend servers observed against the system's guarantees. */
 
 import { HEADERS } from '../../platform/names';
 import { signatureOf } from '../../stand-ins/users-platform/servers';
@@ -8,10 +8,10 @@
 import type { Call } from './callers';
 import type { World } from './world';
 
-/** These promise that the request has not run and never will. */
+/** Statuses that guarantee that the request has not run and never will. */
 const NOT_RUN: ReadonlySet<number> = new Set([408, 421, 429, 503]);
-/** Nothing that a caller does here deserves one of these. */
-const DENIALS: ReadonlySet<number> = new Set([400, 401, 403, 404, 413, 431]);
+/** Statuses for invalid requests; no caller of the soak sends one. */
+const INVALID_REQUEST: ReadonlySet<number> = new Set([400, 401, 403, 404, 413, 431]);
 const MAX_ATTEMPTS = 2;
 
 type Check = (call: Call, reply: Reply, runs: readonly Run[]) => string | undefined;
@@ -20,14 +20,14 @@
   return Array.from({ length: count }, (_, i) => i + 1).join();
 }
 
-/** A part of a stream is a prefix of the whole, and only the whole one ends properly. */
+/** An interrupted stream is a prefix of the complete one, and only a complete stream ends normally. */
 const checkEvents: Check = ({ kind, events, requestId }, { status, text, isWhole }) => {
   if (kind !== 'stream' || status !== 200) return undefined;
   const ids = eventIds(text);
   if (ids.join() !== expectedIds(ids.length)) return `events ${ids.join()} of ${events}`;
   if (isWhole && ids.length !== events) return `${ids.length} events of ${events} look complete`;
-  const foreign = [...text.matchAll(/^data: (\S+)/gm)].find((match) => match[1] !== requestId);
-  return foreign && `event of ${foreign[1] ?? ''}`;
+  const misrouted = [...text.matchAll(/^data: (\S+)/gm)].find((match) => match[1] !== requestId);
+  return misrouted && `event of ${misrouted[1] ?? ''}`;
 };
 
 const checkBody: Check = ({ kind, requestId, body }, { status, text, isWhole }) => {
@@ -35,27 +35,28 @@
   return text === `${requestId} ${body}` ? undefined : `body ${text}`;
 };
 
-/** An answer bears the signature of a server that ran this request. */
+/** A signed response carries the signature of a server that ran this request; every success is signed. */
 const checkSignature: Check = ({ requestId }, { status, headers }, runs) => {
   const signature = headers[HEADERS.signature];
-  if (signature === undefined) return status < 300 ? 'a success without signature' : undefined;
+  if (signature === undefined)
+    return status < 300 ? 'successful response without a signature' : undefined;
   const isKnown = runs.some(({ server }) => signature === signatureOf(server, requestId));
-  return isKnown ? undefined : `signature ${String(signature)} of no run`;
+  return isKnown ? undefined : `signature ${String(signature)} matches no run of the request`;
 };
 
 const checkRefusal: Check = ({ kind }, { status, headers }, runs) => {
-  const isOwn = headers[HEADERS.signature] === undefined;
-  if (isOwn && DENIALS.has(status)) return `denied with ${status}`;
+  const isFromDaemon = headers[HEADERS.signature] === undefined;
+  if (isFromDaemon && INVALID_REQUEST.has(status)) return `valid request rejected with ${status}`;
   const hasRun = kind === 'unsafe' && NOT_RUN.has(status) && runs.length > 0;
-  return hasRun ? `refused with ${status} though it ran` : undefined;
+  return hasRun ? `rejected with ${status} although it ran` : undefined;
 };
 
 const REPLY_CHECKS: readonly Check[] = [checkEvents, checkBody, checkSignature, checkRefusal];
 
 function checkRuns({ kind, body }: Call, runs: readonly Run[]): string[] {
-  const most = kind === 'unsafe' ? 1 : MAX_ATTEMPTS;
+  const maxRuns = kind === 'unsafe' ? 1 : MAX_ATTEMPTS;
   const faults: string[] = [];
-  if (runs.length > most) faults.push(`ran ${runs.length} times`);
+  if (runs.length > maxRuns) faults.push(`ran ${runs.length} times`);
   for (const run of runs) {
     if (run.body !== body || run.path !== `/${kind}/x`)
       faults.push(`ran as ${run.path} ${run.body}`);
@@ -65,7 +66,7 @@
   return faults;
 }
 
-/** Every promise that was broken, with the request's id. */
+/** Returns every violated guarantee, with the request's id where it concerns a request. */
 export function judge(world: World, calls: readonly Call[]): string[] {
   const { runs, fleet } = world.platform;
   const byId = new Map<string, Run[]>();
@@ -82,12 +83,12 @@
   }
   for (const [id, unknown] of byId) {
     if (unknown.some(({ path }) => !path.endsWith('/probe')))
-      faults.push(`${id}: nobody's request ran`);
+      faults.push(`${id}: ran a request that no caller sent`);
   }
   return faults;
 }
 
-/** Counts of what callers got, by kind and outcome. */
+/** Counts the calls by kind and outcome. */
 export function tally(calls: readonly Call[]): Readonly<Record<string, number>> {
   const counts: Record<string, number> = {};
   for (const { kind, reply } of calls) {
--- a/tests/soak/main.ts
+++ b/tests/soak/main.ts
@@ -1,4 +1,4 @@
-/** Soaks by hand: `npm run soak -- --seed 1 --seeds 50`. Exits with 1 where a promise was broken. */
+/** Command line of the soak: `npm run soak -- --seed 1 --seeds 50`. Exits with 1 if a guarantee was violated. */
 
 import { mkdirSync } from 'node:fs';
 import { join } from 'node:path';
@@ -7,8 +7,8 @@
 
 import { soak } from './soak';
 
-/** Linux gives ports from 32,768 on to outgoing connections; a daemon that needs one of these cannot start. */
-const HIGHEST_PORT = 32_300;
+/** Linux assigns ports from 32,768 to outgoing connections; a daemon cannot listen on a port in use. */
+const MAX_PORT = 32_300;
 
 const optionsSchema = z.object({
   seed: z.coerce.number().int(),
@@ -24,7 +24,7 @@
   port: z.coerce
     .number()
     .int()
-    .max(HIGHEST_PORT, 'its ports must lie below those of outgoing connections'),
+    .max(MAX_PORT, 'the soak needs ports below those of outgoing connections'),
   logs: z.string().optional(),
 });
 
@@ -33,8 +33,8 @@
   const { seed: first, seeds, daemons, faults, entryFaults, returns, silentRounds } = options;
   const { seconds, port, logs, statementRounds, callers } = options;
   for (let seed = first; seed < first + seeds; seed++) {
-    const logsOfSeed = logs === undefined ? undefined : join(logs, `seed-${seed}`);
-    if (logsOfSeed !== undefined) mkdirSync(logsOfSeed, { recursive: true });
+    const seedLogs = logs === undefined ? undefined : join(logs, `seed-${seed}`);
+    if (seedLogs !== undefined) mkdirSync(seedLogs, { recursive: true });
     const report = await soak({
       seed,
       daemons,
@@ -46,7 +46,7 @@
       statementRounds,
       durationMs: seconds * 1_000,
       firstPort: port,
-      ...(logsOfSeed !== undefined && { logs: logsOfSeed }),
+      ...(seedLogs !== undefined && { logs: seedLogs }),
     });
     if (report.faults.length > 0) process.exitCode = 1;
     process.stdout.write(`${JSON.stringify(report)}\n`);
@@ -60,12 +60,20 @@
   .option('--daemons', 'Daemon processes', 3)
   .option('--callers', 'Callers at each daemon', 6)
   .option('--faults', 'Faults of a schedule', 14)
-  .option('--returns', 'Returns of the store from an older copy', 0)
-  .option('--entryFaults', 'Restarts of servers under their names, and spoiled rows', 0)
-  .option('--silentRounds', 'Rounds of silences, each followed by a change, before the faults', 0)
-  .option('--statementRounds', 'Rounds in which servers say what they take', 0)
-  .option('--seconds', 'Time over which the faults begin', 14)
-  .option('--logs', "Directory for the daemons' logs, one folder a seed")
+  .option('--returns', 'Restores of the store from an older copy', 0)
+  .option('--entryFaults', 'Server restarts under the same name, and invalid rows', 0)
+  .option(
+    '--silentRounds',
+    'Rounds of silent faults, each followed by a configuration change, before the faults',
+    0,
+  )
+  .option(
+    '--statementRounds',
+    'Rounds in which servers send limits, Retry-After or leaving headers',
+    0,
+  )
+  .option('--seconds', 'Period in which the faults start', 14)
+  .option('--logs', "Directory for the daemons' logs, one folder per seed")
   .option('--port', 'First of about 400 ports', 23_000)
   .action((options: unknown) => {
     run(options).catch((err: unknown) => {
--- a/tests/soak/proxy.test.ts
+++ b/tests/soak/proxy.test.ts
@@ -12,16 +12,15 @@
   process.getActiveResourcesInfo().filter((name) => name === 'TCPSocketWrap').length;
 
 /**
- * A soak's process went on for ever after its report, spinning in its event loop. A connection that is
- * reset in the very turn in which its end was sent is not closed by the runtime: it refuses the reset
- * while the end is under way, and forgets the connection. Ends that a silent link held back are sent
- * together when the fault is over, and a reset may follow at once.
+ * Guards against a soak process that spins in its event loop and never exits. The runtime rejects a
+ * reset while the end of a socket is in progress and loses track of the connection. This happens when
+ * a silent link sends its delayed ends and a reset follows in the same event loop turn.
  */
-it('closes connections whose end was sent in the same turn as their reset', async () => {
+it('closes connections that are ended and reset in the same event loop turn', async () => {
   const before = openSockets();
-  const taken: Socket[] = [];
+  const accepted: Socket[] = [];
   const target = createServer({ allowHalfOpen: true }, (socket) => {
-    taken.push(socket);
+    accepted.push(socket);
     socket.on('error', () => undefined);
   });
   target.listen(0, '127.0.0.1');
@@ -39,7 +38,7 @@
   proxy.disturb(undefined);
   proxy.reset();
   await pause(50);
-  for (const socket of [client, ...taken]) socket.destroy();
+  for (const socket of [client, ...accepted]) socket.destroy();
   proxy.close();
   target.close();
   await pause(100);
--- a/tests/soak/proxy.ts
+++ b/tests/soak/proxy.ts
@@ -1,4 +1,4 @@
-/** A TCP proxy on loopback that delays, silences, cuts one way or resets what passes through it. */
+/** A TCP proxy on loopback that delays connections, blocks them in one or both directions, or resets them. */
 
 import { connect, createServer } from 'node:net';
 import type { Socket } from 'node:net';
@@ -8,87 +8,89 @@
 export type Direction = 'to-target' | 'from-target';
 
 export interface LinkFault {
-  /** Bytes of these directions are held back until the fault ends; connections stay open. */
+  /** Directions whose bytes are buffered until the fault ends; connections stay open. */
   readonly silent: readonly Direction[];
-  /** Added to the way of each chunk, milliseconds. */
+  /** Added latency of each chunk, in milliseconds. */
   readonly delayMs: number;
 }
 
 export interface Proxy {
   readonly address: string;
-  /** Sets the fault of all present and later connections; undefined for none. */
+  /** Sets the fault of all current and future connections; undefined clears it. */
   disturb(fault: LinkFault | undefined): void;
-  /** Resets all present connections. */
+  /** Resets all current connections. */
   reset(): void;
-  /** Holds back what passes over the present connections for good; they stay open, and new ones work. */
+  /** Blocks the current connections permanently; they stay open, and new connections work. */
   mute(): void;
   close(): void;
 }
 
 export const SILENT: LinkFault = { silent: ['to-target', 'from-target'], delayMs: 0 };
 
-/** A chunk on its way, or how its direction ended. */
+/** A chunk in transit, or the end of its direction. */
 interface Queued {
   readonly chunk: Buffer | 'end' | 'reset';
   readonly dueAt: number;
 }
 
-/** Resets a connection; one whose end is under way is closed, since the runtime would lose it and spin. */
-function tear(socket: Socket): void {
+/** Resets a socket. An ending socket is destroyed instead: the runtime would lose it and spin. */
+function resetSocket(socket: Socket): void {
   if (socket.writableEnded) socket.destroy();
   else socket.resetAndDestroy();
 }
 
+/** Listens on `address` and forwards connections to `target`. */
 export async function startProxy(address: string, target: string): Promise<Proxy> {
   let fault: LinkFault | undefined;
   const sockets = new Set<Socket>();
-  /** Send on what is due, each of one connection and direction. */
-  const pipes = new Set<() => void>();
+  /** Functions that forward due chunks, one for each connection and direction. */
+  const forwarders = new Set<() => void>();
   const muted = new Set<() => void>();
 
   const pipe = (from: Socket, to: Socket, direction: Direction): void => {
     const queue: Queued[] = [];
     let timer: NodeJS.Timeout | undefined;
-    const isHeld = (): boolean => muted.has(pump) || fault?.silent.includes(direction) === true;
+    const isBlocked = (): boolean =>
+      muted.has(forward) || fault?.silent.includes(direction) === true;
     const send = ({ chunk }: Queued): void => {
       if (to.destroyed) return;
       if (chunk === 'end') to.end();
-      else if (chunk === 'reset') tear(to);
+      else if (chunk === 'reset') resetSocket(to);
       else to.write(chunk);
     };
-    /** Sends in order, whatever delay each chunk was given: TCP never lets one overtake another. */
-    const pump = (): void => {
+    /** Forwards chunks in order, whatever their delays, since TCP preserves order. */
+    const forward = (): void => {
       clearTimeout(timer);
-      while (!isHeld()) {
+      while (!isBlocked()) {
         const next = queue[0];
         if (!next) return;
         const waitMs = next.dueAt - performance.now();
         if (waitMs > 0) {
-          timer = setTimeout(pump, waitMs);
+          timer = setTimeout(forward, waitMs);
           return;
         }
         queue.shift();
         send(next);
       }
     };
-    const pass = (chunk: Queued['chunk']): void => {
+    const enqueue = (chunk: Queued['chunk']): void => {
       queue.push({ chunk, dueAt: performance.now() + (fault?.delayMs ?? 0) });
-      pump();
+      forward();
     };
-    pipes.add(pump);
-    from.on('data', pass);
+    forwarders.add(forward);
+    from.on('data', enqueue);
     from.on('end', () => {
-      pass('end');
+      enqueue('end');
     });
     from.on('error', () => {
-      pass('reset');
+      enqueue('reset');
     });
     from.on('close', () => {
-      if (queue.length === 0) pipes.delete(pump);
+      if (queue.length === 0) forwarders.delete(forward);
     });
     to.on('close', () => {
       clearTimeout(timer);
-      pipes.delete(pump);
+      forwarders.delete(forward);
     });
   };
 
@@ -106,17 +108,17 @@
   await new Promise<void>((resolve) => server.listen(port, host, resolve));
 
   const reset = (): void => {
-    for (const socket of sockets) tear(socket);
+    for (const socket of sockets) resetSocket(socket);
   };
   return {
     address,
     reset,
     mute: () => {
-      for (const pump of pipes) muted.add(pump);
+      for (const forward of forwarders) muted.add(forward);
     },
     disturb: (next) => {
       fault = next;
-      for (const pump of [...pipes]) pump();
+      for (const forward of [...forwarders]) forward();
     },
     close: () => {
       reset();
--- a/tests/soak/soak.ts
+++ b/tests/soak/soak.ts
@@ -1,4 +1,4 @@
-/** One soak: real daemons under load and a seeded schedule of faults, judged from outside. */
+/** Runs daemon processes under load and a seeded schedule of faults, and checks them from outside. */
 
 import { createRandom } from '../../src/adapters/runtime';
 import type { Random } from '../../src/ports/runtime';
@@ -18,13 +18,13 @@
   readonly daemons?: number;
   readonly callersPerDaemon?: number;
   readonly faults?: number;
-  /** Faults of servers' entries beside them: restarts under the same name, spoiled rows. */
+  /** Additional faults in the servers' entries: restarts under the same name, invalid rows. */
   readonly entryFaults?: number;
-  /** Returns of the store from an older copy among the faults. */
+  /** Restores of the store from an older copy, in the same schedule. */
   readonly returns?: number;
-  /** Rounds of silences before them, each followed by a change that must be in force in time. */
+  /** Rounds of silent faults before the schedule, each followed by a change that must apply in time. */
   readonly silentRounds?: number;
-  /** Rounds in which servers name limits, ask for rest or say that they leave, before the faults. */
+  /** Rounds before the schedule in which servers send limits, Retry-After or leaving headers. */
   readonly statementRounds?: number;
   readonly durationMs?: number;
   readonly firstPort?: number;
@@ -39,13 +39,13 @@
   readonly faults: readonly string[];
 }
 
-/** Once no fault is left, all is served again within this: a head that must break, and a load of weights. */
+/** Recovery time after the last fault: covers detecting a broken head and loading weights. */
 const RECOVERY_MS = 40_000;
-const LOOK_MS = 100;
-/** Requests on their way when the load ends have run by then, if ever. */
+const POLL_MS = 100;
+/** Requests in flight when the load ends run within this time, if at all. */
 const SETTLE_MS = 500;
 
-async function carryOut(
+async function runSchedule(
   world: World,
   plan: readonly PlannedFault[],
   random: Random,
@@ -75,7 +75,7 @@
   );
 }
 
-/** What every daemon must come to answer once the faults are over, by the newest configuration. */
+/** Responses that every daemon must give after the faults, under the newest configuration. */
 function expectations(world: World, isKeyRemoved: boolean) {
   const newest = world.addedRoutes.at(-1);
   return [
@@ -88,20 +88,20 @@
   ];
 }
 
-const SILENCES_OF_ROUND = 3;
-/** Longer than any call to the store may stay out. */
-const LONGEST_SILENCE_MS = 6_000;
-/** A probe's own way and time. */
+const SILENCES_PER_ROUND = 3;
+/** Exceeds the timeout of every store call. */
+const MAX_SILENCE_MS = 6_000;
+/** Allowance for the probe itself. */
 const PROBE_SLACK_MS = 250;
 
 /**
- * Silences that end together, and changes in their midst and right at their end: once the time to settle
- * has passed, every daemon serves the newest route.
+ * Runs overlapping silent faults, with a configuration change during them and one right after the last.
+ * Every daemon must serve the newest route after the settling time.
  */
 async function runSilentRound(world: World, random: Random): Promise<string[]> {
-  const plan = planSilences(random, SILENCES_OF_ROUND, LONGEST_SILENCE_MS);
-  const done = carryOut(world, plan, random);
-  await pause(random.next() * LONGEST_SILENCE_MS);
+  const plan = planSilences(random, SILENCES_PER_ROUND, MAX_SILENCE_MS);
+  const done = runSchedule(world, plan, random);
+  await pause(random.next() * MAX_SILENCE_MS);
   world.addRoute();
   await done;
   world.addRoute();
@@ -110,32 +110,33 @@
   const found = await Promise.all(world.daemons.map((daemon) => statusOf(daemon, route)));
   const names = plan.map(({ name, at, forMs }) => `${name} ${at}+${forMs}`).join();
   return found.flatMap((status, n) =>
-    status === 200 ? [] : [`daemon-${n} answers ${status} at the newest route after ${names}`],
+    status === 200 ? [] : [`daemon-${n} returns ${status} for the newest route after ${names}`],
   );
 }
 
-/** Waits until every daemon answers as it must; names what stays wrong. */
+/** Waits for the expected responses of every daemon and returns those still unrecovered at the time limit. */
 async function awaitRecovery(world: World, isKeyRemoved: boolean): Promise<string[]> {
   const until = performance.now() + RECOVERY_MS;
-  const wrong: string[] = [];
+  const unrecovered: string[] = [];
   for (const daemon of world.daemons) {
     for (const { path, status, ...asked } of expectations(world, isKeyRemoved)) {
       let found = await statusOf(daemon, path, asked);
       while (found !== status && performance.now() < until) {
-        await pause(LOOK_MS);
+        await pause(POLL_MS);
         found = await statusOf(daemon, path, asked);
       }
-      if (found !== status) wrong.push(`${daemon.id} still answers ${found} at /${path}/`);
+      if (found !== status) unrecovered.push(`${daemon.id} still returns ${found} for /${path}/`);
     }
   }
-  return wrong;
+  return unrecovered;
 }
 
 async function awaitServing(world: World): Promise<void> {
   const { fleet } = world.platform;
-  while (fleet.serving(SMALL) === 0 || fleet.serving(LARGE) === 0) await pause(LOOK_MS);
+  while (fleet.serving(SMALL) === 0 || fleet.serving(LARGE) === 0) await pause(POLL_MS);
 }
 
+/** Runs one soak; the report lists the violated guarantees in `faults`. */
 export async function soak({
   seed,
   daemons = 3,
@@ -151,32 +152,32 @@
 }: SoakOptions): Promise<SoakReport> {
   const random = createRandom(seed);
   const common = planFaults(random, faults, durationMs);
-  const ofEntries = planEntryFaults(createRandom(seed), entryFaults, durationMs);
-  const ofReturns = planReturns(createRandom(seed + 3), returns, durationMs);
-  const plan = [...common, ...ofEntries, ...ofReturns].sort((a, b) => a.at - b.at);
+  const entryPlan = planEntryFaults(createRandom(seed), entryFaults, durationMs);
+  const returnPlan = planReturns(createRandom(seed + 3), returns, durationMs);
+  const plan = [...common, ...entryPlan, ...returnPlan].sort((a, b) => a.at - b.at);
   const world = await startWorld({ daemons, firstPort, ...(logs !== undefined && { logs }) });
   try {
     await awaitServing(world);
     const callers = startCallers(world, random, callersPerDaemon);
-    const late: string[] = [];
-    const ofSilences = createRandom(seed + 2);
+    const roundFaults: string[] = [];
+    const silenceRandom = createRandom(seed + 2);
     for (let round = 0; round < silentRounds; round++) {
-      late.push(...(await runSilentRound(world, ofSilences)));
+      roundFaults.push(...(await runSilentRound(world, silenceRandom)));
     }
-    const ofStatements = createRandom(seed + 4);
+    const statementRandom = createRandom(seed + 4);
     for (let round = 0; round < statementRounds; round++) {
-      late.push(...(await runStatementRound(world, ofStatements, callers.calls)));
+      roundFaults.push(...(await runStatementRound(world, statementRandom, callers.calls)));
     }
-    await carryOut(world, plan, createRandom(seed + 1));
+    await runSchedule(world, plan, createRandom(seed + 1));
     const isKeyRemoved = plan.some(({ name }) => name === 'key-removed');
-    const wrong = await awaitRecovery(world, isKeyRemoved);
+    const unrecovered = await awaitRecovery(world, isKeyRemoved);
     await callers.stop();
     await pause(SETTLE_MS);
     return {
       seed,
       plan,
       counts: tally(callers.calls),
-      faults: [...late, ...wrong, ...judge(world, callers.calls)],
+      faults: [...roundFaults, ...unrecovered, ...judge(world, callers.calls)],
     };
   } finally {
     world.close();
--- a/tests/soak/statements.ts
+++ b/tests/soak/statements.ts
@@ -1,4 +1,4 @@
-/** Rounds in which servers say something of themselves, and what of it daemons did not hold to. */
+/** Rounds in which servers send load headers, and checks that daemons obey them. */
 
 import { HEADERS } from '../../platform/names';
 import type { Arrival } from '../../stand-ins/users-platform/statements';
@@ -10,27 +10,27 @@
 import type { Call } from './callers';
 import type { World } from './world';
 
-/** Daemons and their links are calm in a round, so that the rules excuse none. */
+/** No faults are injected during a round, so the rules apply without exception. */
 const ROUND_MS = 9_000;
-const SPEAKERS = 3;
-const SPOILED: readonly string[] = ['', '-1', 'NaN', '1e400', '2, x', 'soon', '1 1'];
+const SENDERS = 3;
+const INVALID_VALUES: readonly string[] = ['', '-1', 'NaN', '1e400', '2, x', 'soon', '1 1'];
 
 type Kind = 'limit' | 'rest' | 'leaving' | 'spoiled';
 const KINDS: readonly Kind[] = ['limit', 'rest', 'leaving', 'spoiled'];
 
-interface Speaker {
+interface Sender {
   readonly kind: Kind;
   readonly name: ServerName;
   readonly from: number;
   readonly limitPerS: number;
   readonly restS: number;
-  /** Of the head of a group. */
+  /** Set if the server is the head of a group. */
   readonly head?: { readonly id: InstanceId; readonly domain: DomainId };
 }
 
 interface Candidate {
   readonly name: ServerName;
-  readonly head?: Speaker['head'];
+  readonly head?: Sender['head'];
 }
 
 function listCandidates({ platform }: World): Candidate[] {
@@ -40,14 +40,14 @@
   return [...platform.plainServers.map((name) => ({ name })), ...heads];
 }
 
-function drawSpeakers(world: World, random: Random): Speaker[] {
+function chooseSenders(world: World, random: Random): Sender[] {
   const candidates = listCandidates(world);
-  return Array.from({ length: SPEAKERS }, () => {
-    const drawn = candidates.splice(Math.floor(random.next() * candidates.length), 1);
-    return drawn.map(({ name, head }) => {
+  return Array.from({ length: SENDERS }, () => {
+    const chosen = candidates.splice(Math.floor(random.next() * candidates.length), 1);
+    return chosen.map(({ name, head }) => {
       const kind = KINDS[Math.floor(random.next() * KINDS.length)] ?? 'limit';
       return {
-        // A plain server stays in this stand-in: what it said of leaving would hold for good.
+        // Plain servers are never replaced here, so a leaving one would stay unused permanently.
         kind: kind === 'leaving' && !head ? 'rest' : kind,
         name,
         from: performance.now(),
@@ -59,12 +59,14 @@
   }).flat();
 }
 
-const SAYS: Readonly<Record<Kind, (speaker: Speaker, random: Random) => Record<string, string>>> = {
+const HEADERS_BY_KIND: Readonly<
+  Record<Kind, (sender: Sender, random: Random) => Record<string, string>>
+> = {
   limit: ({ limitPerS }) => ({ [HEADERS.limit]: String(limitPerS) }),
   rest: ({ restS }) => ({ 'Retry-After': String(restS) }),
   leaving: () => ({ [HEADERS.leaving]: '1' }),
   spoiled: (_, random) => {
-    const text = SPOILED[Math.floor(random.next() * SPOILED.length)] ?? '';
+    const text = INVALID_VALUES[Math.floor(random.next() * INVALID_VALUES.length)] ?? '';
     return { [HEADERS.limit]: text, [HEADERS.leaving]: text === '1 1' ? 'x' : text };
   },
 };
@@ -81,36 +83,40 @@
   return found;
 }
 
-type Judge = (
-  speaker: Speaker,
+type Check = (
+  sender: Sender,
   arrivals: readonly Arrival[],
   daemonOf: ReadonlyMap<string, string>,
 ) => string[];
 
-const JUDGES: Readonly<Record<Kind, Judge>> = {
+const CHECKS: Readonly<Record<Kind, Check>> = {
   limit: ({ name, from, limitPerS }, arrivals) => {
     const settled = arrivals
       .map(({ at }) => at)
       .filter((at) => at >= from + COMMON_SETTINGS.settleMs);
     const most = mostInSpan(settled);
     return most > allowedBy(limitPerS)
-      ? [`${name} with a limit of ${limitPerS} got ${most} in 4 s`]
+      ? [`${name} with a limit of ${limitPerS}/s received ${most} requests in 4 s`]
       : [];
   },
   rest: ({ name, restS }, arrivals, daemonOf) =>
     [...timesByDaemon(arrivals, daemonOf)].flatMap(([daemon, times]) => {
       const most = mostInRest(times, restS);
-      return most > MOST_IN_REST ? [`${name}, resting ${restS} s, got ${most} from ${daemon}`] : [];
+      return most > MOST_IN_REST
+        ? [`${name} with Retry-After ${restS} s received ${most} requests from ${daemon}`]
+        : [];
     }),
   leaving: ({ name }, arrivals, daemonOf) =>
     [...timesByDaemon(arrivals, daemonOf)].flatMap(([daemon, times]) => {
       const late = times.filter((t) => t > Math.min(...times) + COMMON_SETTINGS.leavingMs).length;
-      return late > 0 ? [`${name} left and got ${late} from ${daemon} later`] : [];
+      return late > 0
+        ? [`${name} was leaving and received ${late} late requests from ${daemon}`]
+        : [];
     }),
   spoiled: () => [],
 };
 
-/** What the daemons owe a server by what it says; `calls` are those of the whole soak. */
+/** Runs a round and returns the violations of server headers; `calls` are those of the entire soak. */
 export async function runStatementRound(
   world: World,
   random: Random,
@@ -118,19 +124,19 @@
 ): Promise<string[]> {
   const { platform } = world;
   const { statements, fleet } = platform;
-  const speakers = drawSpeakers(world, random);
-  for (const speaker of speakers) {
-    statements.says.set(speaker.name, SAYS[speaker.kind](speaker, random));
-    if (speaker.kind === 'rest') statements.shedding.add(speaker.name);
+  const senders = chooseSenders(world, random);
+  for (const sender of senders) {
+    statements.says.set(sender.name, HEADERS_BY_KIND[sender.kind](sender, random));
+    if (sender.kind === 'rest') statements.shedding.add(sender.name);
   }
   await pause(ROUND_MS);
   const daemonOf = new Map(calls.map(({ requestId, daemon }) => [requestId, daemon]));
-  const faults = speakers.flatMap((speaker) => {
-    const { name, from } = speaker;
+  const faults = senders.flatMap((sender) => {
+    const { name, from } = sender;
     const own = statements.arrivals.filter((one) => one.server === name && one.at >= from);
-    return JUDGES[speaker.kind](speaker, own, daemonOf);
+    return CHECKS[sender.kind](sender, own, daemonOf);
   });
-  for (const { kind, name, head } of speakers) {
+  for (const { kind, name, head } of senders) {
     statements.says.delete(name);
     statements.shedding.delete(name);
     if (kind !== 'leaving' || !head) continue;
--- a/tests/soak/world.ts
+++ b/tests/soak/world.ts
@@ -1,4 +1,4 @@
-/** The system under soak: the platform's stand-in, daemon processes, and proxies on every link between them. */
+/** The system under test: the platform stand-in, daemon processes, and a proxy on every link between them. */
 
 import type { ChildProcess } from 'node:child_process';
 import { closeSync, mkdtempSync, openSync, rmSync } from 'node:fs';
@@ -18,23 +18,23 @@
 import type { Proxy } from './proxy';
 
 export const KEY = 'key-of-the-depot';
-/** Only this fleet's oldest documents hold it. */
+/** API key that `removeKey` removes from the configuration. */
 export const FORMER_KEY = 'former-key-of-the-depot';
 const HOST = '127.0.0.1';
 const PORTS_PER_DAEMON = 8;
 const PLAIN_SERVERS = 3;
 const DOMAINS = [11, 11];
-/** Engine servers that may be added on a run. */
+/** Maximum number of engine servers added during a run. */
 const SPARE_PORTS = 120;
 
-/** Why a daemon's process ended, as far as the soak meant it to. */
+/** How the soak ended a daemon process on purpose. */
 export type MeantEnd = 'killed' | 'stopped';
 
 export interface SoakDaemon {
   readonly id: string;
   readonly front: string;
   readonly ready: string;
-  /** Links to the store, and links of peers to it. */
+  /** Proxies of the daemon's store connection and of incoming peer connections. */
   readonly toStore: Proxy;
   readonly toPeers: Proxy;
   process: ChildProcess;
@@ -44,11 +44,11 @@
 export interface World {
   readonly platform: PlatformStandIn;
   readonly daemons: readonly SoakDaemon[];
-  /** Links to servers, by the address that is published. */
+  /** Proxies of the servers, by published address. */
   readonly servers: ReadonlyMap<string, Proxy>;
-  /** Ends of processes that the soak did not bring about. */
+  /** Daemon exits that the soak did not cause. */
   readonly unmeantEnds: readonly string[];
-  /** Names of the routes that were added, oldest first. */
+  /** Names of the added routes, oldest first. */
   readonly addedRoutes: readonly string[];
   addRoute(): void;
   removeKey(): void;
@@ -58,10 +58,11 @@
 export interface WorldOptions {
   readonly daemons: number;
   readonly firstPort: number;
-  /** Directory for the daemons' logs; none are kept without. */
+  /** Directory for the daemons' logs; logs are discarded if undefined. */
   readonly logs?: string;
 }
 
+/** Starts the platform, proxies and daemons, and publishes the first configuration. */
 export async function startWorld({
   daemons: count,
   firstPort,
@@ -77,7 +78,7 @@
 
   const serverPorts = firstPort + PORTS_PER_DAEMON * count;
   const proxyOffset = SPARE_PORTS + 40;
-  /** Each server is found behind a proxy at a port further on. */
+  /** Servers are published at the address of their proxy, at a fixed port offset. */
   const publishedAddress = (address: string): string => {
     const port = Number(address.split(':')[1]);
     return `${HOST}:${port + proxyOffset}`;
@@ -130,10 +131,10 @@
     daemon.process = child;
     daemon.meantEnd = undefined;
     child.once('exit', (code, signal) => {
-      // Asked to stop before it could handle the signal, a process ends by it.
+      // SIGTERM kills a process that has not installed its handler yet.
       const isStopped = daemon.meantEnd === 'stopped' && (code === 0 || signal === 'SIGTERM');
-      const isMeant = daemon.meantEnd === 'killed' || isStopped || isClosed;
-      if (!isMeant) unmeantEnds.push(`${daemon.id} ended with ${code ?? signal}`);
+      const isExpected = daemon.meantEnd === 'killed' || isStopped || isClosed;
+      if (!isExpected) unmeantEnds.push(`${daemon.id} exited unexpectedly with ${code ?? signal}`);
       if (!isClosed) start(daemon);
     });
   };
@@ -146,7 +147,7 @@
       ready: portOf(n, 1),
       toStore: await startProxy(portOf(n, 4), platform.storeAddress),
       toPeers: await startProxy(portOf(n, 3), portOf(n, 2)),
-      // Replaced by `start` before anything reads it.
+      // Set by `start` before it is read.
       process: undefined as unknown as ChildProcess,
       meantEnd: undefined,
     });
