--- a/bench/retry.ts
+++ b/bench/retry.ts
@@ -93,7 +93,7 @@
       maxAttempts: MAX_ATTEMPTS,
       deadline,
     };
-    const ctx = { now: ms as MonoTime, chance: random.next(), withdraw };
+    const ctx = { now: ms as MonoTime, random: random.next(), withdraw };
     const decision = decideRetry(facts, DELAYS, ctx);
     if (decision.kind === 'stop') return;
     const at = Math.ceil(decision.at);
--- a/src/app/requests/attempts.ts
+++ b/src/app/requests/attempts.ts
@@ -76,7 +76,7 @@
     { firstMs: retryDelayMs, maxMs: maxRetryDelayMs },
     {
       now: ctx.clock.now(),
-      chance: ctx.random.next(),
+      random: ctx.random.next(),
       withdraw: () => ctx.retryBudgets.tryWithdraw(plan.target),
     },
   );
--- a/src/core/retry/decide.ts
+++ b/src/core/retry/decide.ts
@@ -60,7 +60,7 @@
 export interface RetryContext {
   readonly now: MonoTime;
   /** Random number in [0, 1) for the jitter of the delay. */
-  readonly chance: number;
+  readonly random: number;
   /** Withdraws one retry from the budget; false if it is exhausted. */
   readonly withdraw: () => boolean;
 }
@@ -96,7 +96,7 @@
   const rule = RULES[facts.failure];
   if (!isAllowed(rule, facts)) return { kind: 'stop', why: 'not-allowed' };
   if (facts.attempts >= facts.maxAttempts) return { kind: 'stop', why: 'attempts' };
-  const at = later(ctx.now, retryDelayMs(facts.attempts, delays, ctx.chance));
+  const at = later(ctx.now, retryDelayMs(facts.attempts, delays, ctx.random));
   if (at >= facts.deadline) return { kind: 'stop', why: 'deadline' };
   if (rule.usesBudget && !ctx.withdraw()) return { kind: 'stop', why: 'budget' };
   return { kind: 'again', at };
--- a/tests/retry.test.ts
+++ b/tests/retry.test.ts
@@ -9,7 +9,7 @@
 import type { AttemptFailure, RetryFacts } from '../src/core/retry/decide';
 
 const DELAYS = { firstMs: 20, maxMs: 1_000 };
-const CTX = { now: 0 as MonoTime, chance: 0.5, withdraw: () => true };
+const CTX = { now: 0 as MonoTime, random: 0.5, withdraw: () => true };
 
 function facts(failure: AttemptFailure, more: Partial<RetryFacts> = {}): RetryFacts {
   const limits = { attempts: 1, maxAttempts: 4, deadline: 10_000 as MonoTime };
