--- a/bench/quarantine-loop.ts
+++ b/bench/quarantine-loop.ts
@@ -201,7 +201,7 @@
     running = running.filter((each) => each.group !== group.id);
     for (const state of states) {
       after(random.next() * WORLD.lossSeenWithinMs, () => {
-        const loss = { group: group.id, domain: group.domain, domainDark: false };
+        const loss = { group: group.id, domain: group.domain, isDomainDown: false };
         share(state, onGroupLost(state, loss, ctx()));
       });
     }
--- a/src/app/control/losses.ts
+++ b/src/app/control/losses.ts
@@ -11,7 +11,7 @@
 export interface LostGroup {
   readonly group: GroupId;
   /** Whether most groups of its domain were lost together. */
-  readonly domainDark: boolean;
+  readonly isDomainDown: boolean;
 }
 
 export interface Losses {
@@ -30,7 +30,7 @@
 
 /**
  * A lost group is reported at once. If most groups of its domain are lost within a few seconds, all
- * of them are reported again, with `domainDark` set.
+ * of them are reported again, with `isDomainDown` set.
  */
 export function createLosses(ctx: ControlContext, watches: Watches): Losses {
   const lost = new Subject<LostGroup>();
@@ -45,10 +45,10 @@
     const losses = [...earlier, { group: change.group, at: now }];
     recent.set(change.domain, losses);
     if (!isDomainDown(change.domain, losses)) {
-      lost.next({ group: change.group, domainDark: false });
+      lost.next({ group: change.group, isDomainDown: false });
       return;
     }
-    for (const { group } of losses) lost.next({ group, domainDark: true });
+    for (const { group } of losses) lost.next({ group, isDomainDown: true });
   };
 
   const isDomainDown = (domain: DomainId, losses: readonly Loss[]): boolean => {
--- a/src/app/parts.ts
+++ b/src/app/parts.ts
@@ -138,10 +138,10 @@
   /** Reports an observed failure. */
   report(evidence: GroupEvidence): void;
   /**
-   * Emits a group as soon as it is no longer routable. `domainDark` means that its whole failure
+   * Emits a group as soon as it is no longer routable. `isDomainDown` means that its whole failure
    * domain was lost.
    */
-  readonly lost: Observable<{ readonly group: GroupId; readonly domainDark: boolean }>;
+  readonly lost: Observable<{ readonly group: GroupId; readonly isDomainDown: boolean }>;
 }
 
 /** The control plane: forms groups and tells which are routable. */
--- a/src/app/requests/strikes.ts
+++ b/src/app/requests/strikes.ts
@@ -144,8 +144,8 @@
     else applyStrike(entry);
   };
 
-  const onLost = (group: GroupId, domainDark: boolean): void => {
-    const loss = { group, domain: domains.get(group), domainDark };
+  const onLost = (group: GroupId, isDomainDown: boolean): void => {
+    const loss = { group, domain: domains.get(group), isDomainDown };
     domains.delete(group);
     publishNew(onGroupLost(state, loss, context()));
   };
@@ -168,8 +168,8 @@
         .pipe(filter(({ topic }) => topic === TOPIC))
         .subscribe(applyEntry);
       subscription.add(
-        groups.lost.subscribe(({ group, domainDark }) => {
-          onLost(group, domainDark);
+        groups.lost.subscribe(({ group, isDomainDown }) => {
+          onLost(group, isDomainDown);
         }),
       );
     },
--- a/src/core/retry/quarantine-types.ts
+++ b/src/core/retry/quarantine-types.ts
@@ -91,7 +91,7 @@
   /** The same instant as wall-clock time, to compare with strikes of peers. */
   readonly epochAt: EpochTime;
   /** Whether the whole domain of the group is known to have failed. */
-  readonly domainDark: boolean;
+  readonly isDomainDown: boolean;
 }
 
 /** `suspect`: to be run on a group without other requests; `quarantined`: to be refused. */
--- a/src/core/retry/quarantine.ts
+++ b/src/core/retry/quarantine.ts
@@ -182,14 +182,14 @@
 /** Records that a group was lost; returns a strike for each run that it interrupted. */
 export function onGroupLost(
   state: QuarantineState,
-  { group, domain, domainDark }: Omit<LostGroup, 'at' | 'epochAt'>,
+  { group, domain, isDomainDown }: Omit<LostGroup, 'at' | 'epochAt'>,
   ctx: QuarantineContext,
 ): readonly Strike[] {
   const { attributionWindowMs } = state.opts;
   const interrupted = state.interrupted.filter(
     (run) => run.group === group && ctx.now - run.interruptedAt < attributionWindowMs,
   );
-  const loss = { group, domain, domainDark, at: ctx.now, epochAt: ctx.epoch };
+  const loss = { group, domain, isDomainDown, at: ctx.now, epochAt: ctx.epoch };
   state.lost = state.lost.filter(({ at }) => ctx.now - at < attributionWindowMs);
   state.lost.push(loss);
   return addStrikes(state, interrupted, ctx);
@@ -257,7 +257,7 @@
 function hasWiderCause(state: QuarantineState, strike: Strike): boolean {
   const together = lostTogether(state, strike);
   const isDomainDown = together.some(
-    ({ group, domainDark }) => group === strike.group && domainDark,
+    ({ group, isDomainDown: isDown }) => group === strike.group && isDown,
   );
   const inDomain = together.filter(({ domain }) => domain === strike.domain);
   const { domainFaultGroups: domainLimit, wideFaultGroups: wideLimit } = state.opts;
--- a/tests/control-recovery.test.ts
+++ b/tests/control-recovery.test.ts
@@ -135,7 +135,7 @@
     world.config.next(configOf(modelSpec('m', { replicas: 2 })));
     await world.advance(18_000);
     const told: boolean[] = [];
-    daemon.control.lost.subscribe(({ domainDark }) => told.push(domainDark));
+    daemon.control.lost.subscribe(({ isDomainDown }) => told.push(isDomainDown));
     for (const one of world.engines.values()) one.up = false;
     await world.advance(3_000);
     expect(told).toEqual([false, true, true]);
--- a/tests/quarantine-requests.test.ts
+++ b/tests/quarantine-requests.test.ts
@@ -24,7 +24,7 @@
       crashed.push(id);
       groups.groups = groups.groups.filter((group) => group.id !== id);
       call.res.destroy();
-      groups.lost.next({ group: id as GroupId, domainDark: false });
+      groups.lost.next({ group: id as GroupId, isDomainDown: false });
       return undefined;
     };
   const ids = ['d1-a', 'd2-a', 'd3-a', 'd4-a'];
--- a/tests/quarantine.test.ts
+++ b/tests/quarantine.test.ts
@@ -51,7 +51,7 @@
     return attempt;
   });
   const strikes = attempts.flatMap((attempt) => onRunInterrupted(state, attempt, at(ms)));
-  const loss = { group: id as GroupId, domain, domainDark: false };
+  const loss = { group: id as GroupId, domain, isDomainDown: false };
   return [...strikes, ...onGroupLost(state, loss, at(ms + 10))];
 }
 
@@ -93,7 +93,7 @@
     };
     onRunStart(state, { ...run, group: 'd1-a' as GroupId, domain: group('d1-a').domain });
     expect(onRunInterrupted(state, run.attempt, at(0))).toEqual([]);
-    const loss = { group: 'd1-a' as GroupId, domain: group('d1-a').domain, domainDark: false };
+    const loss = { group: 'd1-a' as GroupId, domain: group('d1-a').domain, isDomainDown: false };
     expect(onGroupLost(state, loss, at(60_000))).toEqual([]);
     expect(suspicionOf(state, BAD, at(60_000))).toBe('clear');
   });
--- a/tests/support/requests-fixture.ts
+++ b/tests/support/requests-fixture.ts
@@ -92,7 +92,7 @@
 export interface FakeGroups extends GroupView {
   groups: readonly RoutableGroup[];
   readonly evidence: GroupEvidence[];
-  readonly lost: Subject<{ readonly group: GroupId; readonly domainDark: boolean }>;
+  readonly lost: Subject<{ readonly group: GroupId; readonly isDomainDown: boolean }>;
 }
 
 export function fakeGroups(groups: readonly RoutableGroup[] = []): FakeGroups {
