--- a/src/app/control/status.ts
+++ b/src/app/control/status.ts
@@ -41,7 +41,7 @@
     })),
     domains: from.heldDomains.map((state) => ({
       domain: state.domain,
-      dark: state.darkSince !== undefined,
+      dark: state.downSince !== undefined,
       openSlots: state.openSlots.length,
       pending: state.pending?.reason ?? null,
     })),
--- a/src/core/groups/domain-types.ts
+++ b/src/core/groups/domain-types.ts
@@ -54,9 +54,9 @@
   readonly replaceAfterMs: number;
   /** Policy `preload` replaces it by a warm spare after this long. */
   readonly confirmMs: number;
-  /** The domain counts as dark if more than this share of its grouped instances is unresponsive. */
+  /** The domain counts as down if more than this share of its grouped instances is unresponsive. */
   readonly outageShare: number;
-  /** Groups of a domain that is dark this long are dissolved and may form in other domains. */
+  /** Groups of a domain that is down this long are dissolved and may form in other domains. */
   readonly outageDissolveMs: number;
   /** A group that lacks a member this long, without a replacement, releases its instances. */
   readonly dissolveMs: number;
@@ -78,7 +78,7 @@
   readonly rowRefreshMs: number;
 }
 
-/** Fewer unresponsive instances than this never make a domain dark. */
+/** Fewer unresponsive instances than this never count as an outage of a domain. */
 export const MIN_OUTAGE_INSTANCES = 3;
 
 /** Default settings. */
@@ -161,7 +161,7 @@
   /** By group: earliest restart. */
   readonly restartAt: Readonly<Record<GroupId, MonoTime>>;
   /** Start of an outage of the domain; absent while there is none. */
-  readonly darkSince?: MonoTime;
+  readonly downSince?: MonoTime;
   /** Members loading weights in other domains, as their holders publish it. */
   readonly loadsElsewhere: number;
   /** Number of the next group or transaction of this process. */
--- a/src/core/groups/domain.ts
+++ b/src/core/groups/domain.ts
@@ -196,11 +196,11 @@
     if (row.phase !== 'draining' && leavingMembers(state, row).length === 0) continue;
     drainUntil[row.id] = state.drainUntil[row.id] ?? later(now, state.settings.drainTimeoutMs);
   }
-  const { darkSince } = state;
-  if (isDomainDown(state, now)) return { ...state, drainUntil, darkSince: darkSince ?? now };
-  if (darkSince === undefined) return { ...state, drainUntil };
+  const { downSince } = state;
+  if (isDomainDown(state, now)) return { ...state, drainUntil, downSince: downSince ?? now };
+  if (downSince === undefined) return { ...state, drainUntil };
   // The domain is recovering: members that return a little later than others are not yet lost.
-  return { ...omit(restartUnresponsiveTime(state, now), 'darkSince'), drainUntil };
+  return { ...omit(restartUnresponsiveTime(state, now), 'downSince'), drainUntil };
 }
 
 function readRows(state: DomainState): DomainStep {
--- a/src/core/groups/forming.ts
+++ b/src/core/groups/forming.ts
@@ -12,7 +12,7 @@
 
 /** The transaction that forms the next group, if a slot is open and enough instances are free. */
 export function planForming(state: DomainState, now: MonoTime): GroupTransaction | undefined {
-  if (state.darkSince !== undefined) return undefined;
+  if (state.downSince !== undefined) return undefined;
   for (const slot of byDowntimeCost(state)) {
     const tx = formGroupForSlot(state, slot, now);
     if (tx) return tx;
--- a/src/core/groups/lifecycle.ts
+++ b/src/core/groups/lifecycle.ts
@@ -35,9 +35,9 @@
 
 /** The next transaction of any group of the domain. */
 export function planGroups(state: DomainState, now: MonoTime): GroupTransaction | undefined {
-  const isDark = state.darkSince !== undefined;
+  const isDown = state.downSince !== undefined;
   for (const row of groupsOf(state)) {
-    const tx = isDark ? dissolveAfterOutage(state, row, now) : applyRules(state, row, now);
+    const tx = isDown ? dissolveAfterOutage(state, row, now) : applyRules(state, row, now);
     if (tx) return tx;
   }
   return undefined;
@@ -172,8 +172,8 @@
 
 /** After a long outage, dissolves a group without reachable members: it may form elsewhere. */
 function dissolveAfterOutage(state: DomainState, row: GroupRow, now: MonoTime) {
-  if (state.darkSince === undefined) return undefined;
-  if (now < later(state.darkSince, state.settings.outageDissolveMs)) return undefined;
+  if (state.downSince === undefined) return undefined;
+  if (now < later(state.downSince, state.settings.outageDissolveMs)) return undefined;
   const allSilent = unresponsiveMembers(state, row, now).length === row.members.length;
   return allSilent ? dissolveGroup(state, row.id, 'dark') : undefined;
 }
--- a/src/core/groups/orders.ts
+++ b/src/core/groups/orders.ts
@@ -150,7 +150,7 @@
   rows: readonly GroupRow[],
   now: MonoTime,
 ): readonly AddressedOrder[] {
-  if (state.darkSince !== undefined) return [];
+  if (state.downSince !== undefined) return [];
   const preloads = new Map<InstanceId, ModelId>();
   for (const row of rows) addReplacementPreloads(state, row, now, preloads);
   addSparePreload(state, rows, now, preloads);
