--- a/src/app/gateway/slot-admission.ts
+++ b/src/app/gateway/slot-admission.ts
@@ -89,7 +89,7 @@
     const freeByGroup = groups.map(({ head, freeSlots }) => ({
       head,
       // Slots released by own streams are already reserved for this daemon.
-      places: Math.max(0, freeSlots - (grantedSlots.get(head) ?? 0)),
+      slots: Math.max(0, freeSlots - (grantedSlots.get(head) ?? 0)),
     }));
     for (const [head, slots] of grantSlots(freeByGroup, onTimeShare(contention), random.next())) {
       addGranted(head, slots);
--- a/src/core/gateway/capacity.ts
+++ b/src/core/gateway/capacity.ts
@@ -139,7 +139,7 @@
 /** Free slots of a group. */
 export interface FreeSlots {
   readonly head: InstanceId;
-  readonly places: number;
+  readonly slots: number;
 }
 
 /**
@@ -153,9 +153,9 @@
   chance: number,
 ): readonly (readonly [InstanceId, number])[] {
   let sum = chance;
-  return groups.flatMap(({ head, places }) => {
+  return groups.flatMap(({ head, slots }) => {
     const before = Math.floor(sum);
-    sum += share * places;
+    sum += share * slots;
     const granted = Math.floor(sum) - before;
     return granted === 0 ? [] : [[head, granted] as const];
   });
--- a/tests/gateway/capacity.test.ts
+++ b/tests/gateway/capacity.test.ts
@@ -105,7 +105,7 @@
 });
 
 describe('the slots granted to daemons', () => {
-  const groups = [3, 0, 7, 2].map((places, n) => ({ head: instance(`${n}`), places }));
+  const groups = [3, 0, 7, 2].map((slots, n) => ({ head: instance(`${n}`), slots }));
 
   it('add up to the free slots of each group, however many daemons there are', () => {
     const random = createRandom(5);
@@ -117,14 +117,14 @@
     });
     const granted = new Map<string, number>();
     for (let n = 0; n < daemons * rounds; n++) {
-      for (const [head, places] of grantSlots(groups, share, random.next())) {
-        granted.set(head, (granted.get(head) ?? 0) + places);
+      for (const [head, slots] of grantSlots(groups, share, random.next())) {
+        granted.set(head, (granted.get(head) ?? 0) + slots);
       }
     }
-    for (const { head, places } of groups) {
+    for (const { head, slots } of groups) {
       const mean = (granted.get(head) ?? 0) / rounds;
-      expect(mean).toBeGreaterThanOrEqual(0.95 * places);
-      expect(mean).toBeLessThanOrEqual(1.05 * places);
+      expect(mean).toBeGreaterThanOrEqual(0.95 * slots);
+      expect(mean).toBeLessThanOrEqual(1.05 * slots);
     }
   });
 
