--- a/bench/forming-loop.ts
+++ b/bench/forming-loop.ts
@@ -11,7 +11,7 @@
 
 export interface LossesOptions {
   readonly seed: number;
-  readonly without?: readonly FormingMechanism[];
+  readonly disabledMechanisms?: readonly FormingMechanism[];
   /** Share of the orders that get no answer and are carried out 2 to 12 s late. */
   readonly lateShare?: number;
 }
@@ -34,12 +34,20 @@
   [SMALL, 1.5],
 ]);
 
-export function runLosses({ seed, without = [], lateShare = 0 }: LossesOptions): LossesResult {
+export function runLosses({
+  seed,
+  disabledMechanisms = [],
+  lateShare = 0,
+}: LossesOptions): LossesResult {
   const random = createRandom(seed);
   const fleet = createEngineFleet({ ...FLEET, domains: [11, 11, 11], hasTraffic: false });
   const lateMs = (): number =>
     random.next() < lateShare ? LATE_LEAST_MS + LATE_SPREAD_MS * random.next() : 0;
-  const leader = createLeader(fleet, { demand: WORK, without, ...(lateShare > 0 && { lateMs }) });
+  const leader = createLeader(fleet, {
+    offeredLoad: WORK,
+    disabledMechanisms,
+    ...(lateShare > 0 && { lateMs }),
+  });
   leader.run(15_000);
   leader.beginTraffic();
   fleet.beginTraffic();
--- a/bench/forming.ts
+++ b/bench/forming.ts
@@ -16,10 +16,10 @@
 /** Shares of the orders that are late: none, and a third. */
 const LATE_SHARES = [0, 0.35];
 
-function measure(without: readonly FormingMechanism[], lateShare: number): object {
-  const runs = SEEDS.map((seed) => runLosses({ seed, without, lateShare }));
+function measure(disabledMechanisms: readonly FormingMechanism[], lateShare: number): object {
+  const runs = SEEDS.map((seed) => runLosses({ seed, disabledMechanisms, lateShare }));
   return {
-    without: without.join(' '),
+    without: disabledMechanisms.join(' '),
     lateShare,
     seeds: SEEDS.length,
     largeServed: summarise(runs.map(({ largeServed }) => largeServed)),
@@ -32,5 +32,5 @@
 /** One row a mechanism that is left out, and one with all of them, for each share of late orders. */
 export function benchForming(): readonly object[] {
   const sets: readonly (readonly FormingMechanism[])[] = [[], ...MECHANISMS.map((each) => [each])];
-  return LATE_SHARES.flatMap((lateShare) => sets.map((without) => measure(without, lateShare)));
+  return LATE_SHARES.flatMap((lateShare) => sets.map((disabled) => measure(disabled, lateShare)));
 }
--- a/tests/gateway/forming-fuzz.test.ts
+++ b/tests/gateway/forming-fuzz.test.ts
@@ -108,11 +108,11 @@
           const fleet = createEngineFleet({ ...FLEET, domains: [11, 13], hasTraffic: true });
           const lateMs = (n: number): number =>
             (n * 7919 + salt) % 3 === 0 ? 2_000 + ((n * 613) % 10_000) : 0;
-          const demand = new Map([
+          const offeredLoad = new Map([
             [LARGE, large],
             [SMALL, small],
           ]);
-          const leader = createLeader(fleet, { hasTraffic: true, lateMs, demand });
+          const leader = createLeader(fleet, { hasTraffic: true, lateMs, offeredLoad });
           leader.run(40_000);
           for (const { kind, which, afterMs } of faults) {
             APPLY[kind](fleet, leader, which);
--- a/tests/gateway/forming-large.test.ts
+++ b/tests/gateway/forming-large.test.ts
@@ -38,7 +38,7 @@
       const lateMs = (): number => (random.next() < lateShare ? 2_000 + 10_000 * random.next() : 0);
       const leader = createLeader(fleet, {
         engine,
-        demand: OFFERED_LOAD,
+        offeredLoad: OFFERED_LOAD,
         ...(lateShare > 0 && { lateMs }),
       });
       leader.run(16_000);
--- a/tests/gateway/forming.test.ts
+++ b/tests/gateway/forming.test.ts
@@ -164,11 +164,11 @@
 describe('a model without enough groups', () => {
   it('gets its group back from the reserve rather than by loading other servers', () => {
     const fleet = createEngineFleet({ ...FLEET, domains: [26], hasTraffic: true });
-    const demand = new Map([
+    const offeredLoad = new Map([
       [LARGE, 2],
       [SMALL, 0.5],
     ]);
-    const leader = createLeader(fleet, { hasTraffic: true, demand });
+    const leader = createLeader(fleet, { hasTraffic: true, offeredLoad });
     leader.run(120_000);
     const before = fleet.serving(LARGE);
     const loads = fleet.loads();
@@ -182,21 +182,21 @@
 
   it('is assumed to have its published share of the load while it has no known requests', () => {
     const fleet = createEngineFleet({ ...FLEET, domains: [11], hasTraffic: true });
-    const demand = new Map([[SMALL, 0.5]]);
-    createLeader(fleet, { hasTraffic: true, demand }).run(60_000);
+    const offeredLoad = new Map([[SMALL, 0.5]]);
+    createLeader(fleet, { hasTraffic: true, offeredLoad }).run(60_000);
     expect([fleet.serving(LARGE), fleet.serving(SMALL)]).toEqual([1, 1]);
   });
 });
 
 describe('a model that has lost all its groups', () => {
-  const demand = new Map([
+  const offeredLoad = new Map([
     [LARGE, 0.5],
     [SMALL, 3],
   ]);
 
   function startServing(domains: readonly number[]) {
     const fleet = createEngineFleet({ ...FLEET, domains, hasTraffic: false });
-    const leader = createLeader(fleet, { hasTraffic: false, demand });
+    const leader = createLeader(fleet, { hasTraffic: false, offeredLoad });
     leader.run(15_000);
     leader.beginTraffic();
     return { fleet, leader };
@@ -236,11 +236,11 @@
 describe('a model whose groups are nearly full', () => {
   it('gets its group back without a weight load from a model with a group to spare', () => {
     const fleet = createEngineFleet({ ...FLEET, domains: [12], hasTraffic: false });
-    const demand = new Map([
+    const offeredLoad = new Map([
       [LARGE, 0.85],
       [SMALL, 0.7],
     ]);
-    const leader = createLeader(fleet, { demand });
+    const leader = createLeader(fleet, { offeredLoad });
     leader.run(15_000);
     leader.beginTraffic();
     fleet.beginTraffic();
@@ -264,8 +264,8 @@
 
 describe('a third of the orders unanswered and executed late', () => {
   it.each([
-    { seed: 6, without: ['rebalance'] as const },
-    { seed: 5, without: ['reserve'] as const },
+    { seed: 6, disabledMechanisms: ['rebalance'] as const },
+    { seed: 5, disabledMechanisms: ['reserve'] as const },
   ])('restore no dissolved group whose members join others (seed $seed)', (options) => {
     expect(runLosses({ ...options, lateShare: 0.35 }).violations).toEqual([]);
   });
--- a/tests/gateway/leader.ts
+++ b/tests/gateway/leader.ts
@@ -15,10 +15,10 @@
   readonly hasTraffic?: boolean;
   /** Delay of an order that is carried out late, by the number of the order. */
   readonly lateMs?: (n: number) => number;
-  /** Work of each model, in groups that it would keep busy. */
-  readonly demand?: ReadonlyMap<ModelId, number>;
-  /** Mechanisms that are switched off. */
-  readonly without?: readonly FormingMechanism[];
+  /** Offered load of each model, in groups that it would keep busy. */
+  readonly offeredLoad?: ReadonlyMap<ModelId, number>;
+  /** Mechanisms that are disabled. */
+  readonly disabledMechanisms?: readonly FormingMechanism[];
 }
 
 export function createLeader(
@@ -26,15 +26,15 @@
   {
     hasTraffic: startsWithTraffic = false,
     lateMs = () => 0,
-    demand: load,
+    offeredLoad,
     engine = ENGINE,
-    without = [],
+    disabledMechanisms = [],
   }: LeaderOptions = {},
 ) {
   let hasTraffic = startsWithTraffic;
   let fencing = 1;
   let orders = 0;
-  let state: FormingState = createFormingState({ disabledMechanisms: without });
+  let state: FormingState = createFormingState({ disabledMechanisms });
 
   const step = (): void => {
     fleet.advance(TICK_MS);
@@ -47,7 +47,7 @@
       engine,
       fencing,
       hasTraffic,
-      ...(load && { offeredLoad: load }),
+      ...(offeredLoad && { offeredLoad }),
     };
     const plan = planGroups(state, view, now);
     state = plan.state;
@@ -65,7 +65,7 @@
     /** Another daemon takes the lease; it knows nothing but what servers report. */
     replace: (): void => {
       fencing += 1;
-      state = createFormingState({ disabledMechanisms: without });
+      state = createFormingState({ disabledMechanisms });
     },
     /** Callers come from now on; the fleet's own loads keep their speed. */
     beginTraffic: (): void => {
