--- a/src/core/gateway/forming/reserve.ts
+++ b/src/core/gateway/forming/reserve.ts
@@ -3,7 +3,7 @@
  *
  * Load pattern: members of groups are lost every few seconds, and a new server can serve only after a
  * weight load. A spare used for another group of a model that has enough groups is missing at the next
- * loss, and a large group is then lost permanently. The reserve covers the losses expectedLosses while one
+ * loss, and a large group is then lost permanently. The reserve covers the losses expected while one
  * more spare is loaded: their mean plus one standard deviation of a Poisson count (its square root).
  */
 
--- a/src/core/gateway/forming/state.ts
+++ b/src/core/gateway/forming/state.ts
@@ -10,7 +10,7 @@
  * effect (`npm run bench forming`).
  *
  * - `held-spares`: spares that complete an ending group are not used for another one.
- * - `reserve`: as many spares are kept as recentLosses are expected.
+ * - `reserve`: as many spares are kept as losses are expected.
  * - `wanted`: no weights are loaded for a group that the offered load would not fill.
  * - `rebalance`: a model that lacks groups takes servers from another model's groups.
  * - `staged-members`: one member of each smaller group has the larger model staged on its host.
@@ -178,7 +178,7 @@
   /** Last known entries of processes that have certainly ended: their servers have restarted. */
   readonly ended: ReadonlyMap<InstanceId, BackendServer>;
   readonly engine: EngineSpec;
-  /** Fencing number of the lease: a later leader has a greater one, and so greater epochCount. */
+  /** Fencing number of the lease: a later leader has a greater one, and so greater epochs. */
   readonly fencing: number;
   /** Whether callers have been served: from then on loads are slower and rate-limited. */
   readonly hasTraffic: boolean;
--- a/src/core/groups/lifecycle.ts
+++ b/src/core/groups/lifecycle.ts
@@ -115,7 +115,7 @@
   return dissolveGroup(state, row.id, 'given-up');
 }
 
-/** Replaces leaving members once the group is drained; their spares preload weights meanwhile. */
+/** Replaces leaving members once the group is drained. Under policy `preload` their spares load weights meanwhile. */
 function replaceLeaving(state: DomainState, row: GroupRow, now: MonoTime) {
   const leaving = leavingMembers(state, row);
   const plan = planOf(state, row);
--- a/src/core/retry/quarantine-types.ts
+++ b/src/core/retry/quarantine-types.ts
@@ -23,7 +23,7 @@
   readonly domainFaultGroups: number;
   /** Number of groups lost together, in any domains, that count as no request's fault. */
   readonly wideFaultGroups: number;
-  /** Maximum fingerprints kept; those whose strikes expire first are evicted first. */
+  /** Maximum fingerprints kept; expired ones are evicted first, then those struck least recently. */
   readonly maxFingerprints: number;
 }
 
--- a/src/core/retry/quarantine.ts
+++ b/src/core/retry/quarantine.ts
@@ -300,7 +300,7 @@
   return Math.max(...[...strikes.values()].map(({ until }) => until));
 }
 
-/** If there are too many fingerprints, removes expired ones, then those with the oldest strikes. */
+/** If there are too many fingerprints, removes expired ones, then those struck least recently. */
 function evictFingerprints(state: QuarantineState, { epoch }: QuarantineContext): void {
   if (state.strikes.size <= state.opts.maxFingerprints) return;
   for (const [fingerprint, strikes] of state.strikes) {
--- a/tests/gateway/stall-quorum.test.ts
+++ b/tests/gateway/stall-quorum.test.ts
@@ -23,7 +23,7 @@
     expect(isStallConfirmed(reportsOf(['a', 0]), GROUP, activityOf(0), at(0))).toBe(true);
   });
 
-  it('is not confirmed if activityOf have streams there and report nothing', () => {
+  it('is not confirmed if peers have streams there and report nothing', () => {
     expect(isStallConfirmed(reportsOf(['a', 0]), GROUP, activityOf(5), at(100))).toBe(false);
   });
 
