--- a/src/core/retry/quarantine-types.ts
+++ b/src/core/retry/quarantine-types.ts
@@ -23,7 +23,7 @@
   readonly domainFaultGroups: number;
   /** Number of groups lost together, in any domains, that count as no request's fault. */
   readonly wideFaultGroups: number;
-  /** Maximum fingerprints kept; those whose strikes expire first are evicted first. */
+  /** Maximum fingerprints kept; expired ones are evicted first, then those struck least recently. */
   readonly maxFingerprints: number;
 }
 
@@ -91,7 +91,7 @@
   /** The same instant as wall-clock time, to compare with strikes of peers. */
   readonly epochAt: EpochTime;
   /** Whether the whole domain of the group is known to have failed. */
-  readonly domainDark: boolean;
+  readonly isDomainDown: boolean;
 }
 
 /** `suspect`: to be run on a group without other requests; `quarantined`: to be refused. */
--- a/tests/control-recovery.test.ts
+++ b/tests/control-recovery.test.ts
@@ -135,7 +135,7 @@
     world.config.next(configOf(modelSpec('m', { replicas: 2 })));
     await world.advance(18_000);
     const reported: boolean[] = [];
-    daemon.control.lost.subscribe(({ domainDark }) => reported.push(domainDark));
+    daemon.control.lost.subscribe(({ isDomainDown }) => reported.push(isDomainDown));
     for (const one of world.engines.values()) one.up = false;
     await world.advance(3_000);
     expect(reported).toEqual([false, true, true]);
