--- a/bench/config-propagation.ts
+++ b/bench/config-propagation.ts
@@ -157,7 +157,7 @@
   let version = 0;
   for (let round = 0; round < ROUNDS; round += 1) {
     last.cut = true;
-    system.fleet.cut(id);
+    system.fleet.partition(id);
     for (let i = 0; i < CHANGES / ROUNDS; i += 1) {
       version += 1;
       await change(system, version, DAEMONS - 1);
--- a/bench/groups-loop.ts
+++ b/bench/groups-loop.ts
@@ -17,8 +17,8 @@
 import {
   createFakeEngine,
   holds,
-  obey,
-  passTime,
+  executeOrder,
+  advanceEngine,
   reportOf,
   restart,
 } from '../tests/support/control-engine';
@@ -133,7 +133,7 @@
     const wasLoading = engine.loading;
     const loading = [...loop.engines.values()].filter((one) => one.loading).length + 1;
     const loadedAt = loop.now + TIMES.load * Math.max(1, loading / STORE_PARALLEL);
-    obey(engine, order, { fencing: 1, loadedAt }, loop.now);
+    executeOrder(engine, order, { fencing: 1, loadedAt }, loop.now);
     if (engine.loading && engine.loading !== wasLoading) loop.loads++;
     loop.changed = true;
     report(loop, engine);
@@ -211,7 +211,7 @@
 
 /** One round of probes and one tick. */
 export function look(loop: Loop): void {
-  for (const engine of loop.engines.values()) passTime(engine, loop.engines, loop.now);
+  for (const engine of loop.engines.values()) advanceEngine(engine, loop.engines, loop.now);
   for (const engine of loop.engines.values()) report(loop, engine);
   const { state } = loop;
   const groups = groupsOf(state);
--- a/bench/groups-slopes.ts
+++ b/bench/groups-slopes.ts
@@ -8,7 +8,7 @@
 import { hashCandidates, rankOf } from '../src/core/groups/rank';
 import { openSlots } from '../src/core/groups/slots';
 import type { EngineReport, GroupRow, InstanceInfo } from '../src/core/groups/types';
-import { entryOf, routableNow } from '../src/app/control/watches';
+import { toWatchEntry, selectRoutable } from '../src/app/control/watches';
 import { createWatch, reduceWatch } from '../src/core/groups/watch';
 import type { WatchState } from '../src/core/groups/watch';
 import type {
@@ -218,9 +218,9 @@
   return SERVER_SIZES.flatMap((size) => {
     const { held, bytes } = hold(() => watchesOf(size));
     const facts = hold(() => Array.from({ length: size }, (_, n) => factsOf(n, `d${n >> 5}`)));
-    const entries = held.map((state) => entryOf(state, 8, NOW));
+    const entries = held.map((state) => toWatchEntry(state, 8, NOW));
     const routable = timeOf(500, () => {
-      routableNow(entries, NOW, NO_HOOKS);
+      selectRoutable(entries, NOW, NO_HOOKS);
     });
     const ticks = timeOf(200, () => {
       held.forEach((state) => reduceWatch(state, { kind: 'tick' }, { now: NOW }));
--- a/src/app/control/control.ts
+++ b/src/app/control/control.ts
@@ -39,7 +39,7 @@
 export type { ControlOverrides } from './settings';
 
 /** The control part, with a tick for callers that drive time themselves. */
-export interface DrivenControl extends ControlPart {
+export interface ControlPlane extends ControlPart {
   /** Checks all deadlines once. `start` calls it every `tickMs` unless given other `ticks`. */
   tick(): void;
   /** Domains whose lease this daemon validly holds now. */
@@ -57,7 +57,7 @@
 type TaskName = 'list' | 'leases' | 'groups' | 'roles' | 'brief' | 'state';
 
 /** Creates the control part; call `start` before use. */
-export function createControl(deps: ControlDeps, options: ControlOptions = {}): DrivenControl {
+export function createControl(deps: ControlDeps, options: ControlOptions = {}): ControlPlane {
   const ctx = createContext(deps);
   const { clock, settings } = ctx;
   const store = createStore(ctx.table);
@@ -214,8 +214,8 @@
     tasks.runIfDue('groups', now, jittered(intervals.pollMs), pollGroups);
     leases.tick();
     heldDomains.sync();
-    tasks.runIfDue('roles', now, settings.stateMs, updateProbes);
-    tasks.runIfDue('brief', now, settings.stateMs, domainInputs.updateAll);
+    tasks.runIfDue('roles', now, settings.statementMs, updateProbes);
+    tasks.runIfDue('brief', now, settings.statementMs, domainInputs.updateAll);
     tasks.runIfDue('state', now, intervals.statementMs, publishState);
     probes.tick(intervals.probeMs);
     onDemandProbes.tick(watches.get);
--- a/src/app/control/settings.ts
+++ b/src/app/control/settings.ts
@@ -26,7 +26,7 @@
   /** Maximum bytes per second for the instance list, unless this daemon is a lister. */
   readonly listBytesPerSecond: number;
   /** Minimum interval between statements that groups are complete. */
-  readonly stateMs: number;
+  readonly statementMs: number;
   /** Number of daemons besides the domain's holder that probe a group. */
   readonly observers: number;
   /** Maximum on-demand probes per second. */
@@ -46,7 +46,7 @@
   scansPerSecond: 200,
   listMs: 1_000,
   listBytesPerSecond: 2_000,
-  stateMs: 1_000,
+  statementMs: 1_000,
   observers: 1,
   onDemandProbesPerSecond: 64,
   stopTimeoutMs: 3_000,
@@ -123,7 +123,7 @@
     settings.probeBytesPerSecond,
   );
   const probeMs = Math.max(settings.probeMs, probeBudgetMs);
-  const statementMs = Math.max(settings.stateMs, size.peers * STATEMENT_MS_PER_PEER);
+  const statementMs = Math.max(settings.statementMs, size.peers * STATEMENT_MS_PER_PEER);
   const scanBudgetMs = (size.peers * MS_PER_SECOND) / settings.scansPerSecond;
   const rowBytes = size.groupMembers * GROUP_MEMBER_BYTES;
   const readBudgetMs = intervalMs(rowBytes, settings.pollBytesPerSecond);
@@ -136,7 +136,7 @@
     statementMs,
     probeValidMs: VALID_INTERVALS * probeMs,
     // Statements that are sent less often must be valid for longer.
-    statementExtraMs: (VALID_INTERVALS - 1) * (statementMs - settings.stateMs),
+    statementExtraMs: (VALID_INTERVALS - 1) * (statementMs - settings.statementMs),
     pollMs: Math.max(settings.pollMs, scanBudgetMs, readBudgetMs),
     leaseMs: Math.max(settings.pollMs, scanBudgetMs),
     listMs: size.isLister ? settings.listMs : Math.max(settings.listMs, listBudgetMs),
--- a/src/app/control/view.ts
+++ b/src/app/control/view.ts
@@ -12,7 +12,7 @@
 import type { ControlContext } from './context';
 import type { OnDemandProbes } from './demand';
 import { createLosses } from './losses';
-import { routableNow } from './watches';
+import { selectRoutable } from './watches';
 import type { WatchChange, Watches } from './watches';
 
 /** Time within which an on-demand probe is expected to be answered. */
@@ -36,7 +36,7 @@
   let estimates = NO_FORMING_ESTIMATES;
   return {
     routable: (model) =>
-      routableNow(watches.ofModel(model), clock.now(), {
+      selectRoutable(watches.ofModel(model), clock.now(), {
         missing: onDemandProbes.want,
         expiring: onDemandProbes.renew,
       }),
--- a/src/app/control/watches.ts
+++ b/src/app/control/watches.ts
@@ -68,7 +68,7 @@
 }
 
 /** The routable groups among a model's entries, at the cost of two comparisons for each entry. */
-export function routableNow(
+export function selectRoutable(
   entries: Iterable<WatchEntry>,
   now: MonoTime,
   { missing, expiring }: RoutableHooks,
@@ -116,7 +116,7 @@
     const { model } = state.row;
     const ofModel = entries.get(model) ?? new Map<GroupId, WatchEntry>();
     const maxBatch = ctx.config.current().models[model]?.maxBatch ?? 1;
-    entries.set(model, ofModel.set(state.id, entryOf(state, maxBatch, ctx.clock.now())));
+    entries.set(model, ofModel.set(state.id, toWatchEntry(state, maxBatch, ctx.clock.now())));
   };
 
   const dispatch = (group: GroupId, event: WatchEvent): void => {
@@ -221,7 +221,7 @@
 }
 
 /** The entry of a group; `routable` is set while the group may receive requests. */
-export function entryOf(state: WatchState, maxBatch: number, now: MonoTime): WatchEntry {
+export function toWatchEntry(state: WatchState, maxBatch: number, now: MonoTime): WatchEntry {
   const until = routableUntil(state, now);
   const first = state.row.members[0];
   if (until === undefined || !first) return { state };
--- a/src/app/gateway/exchange.ts
+++ b/src/app/gateway/exchange.ts
@@ -7,7 +7,7 @@
 import type { Route } from '../../core/gateway/types';
 import { later } from '../../core/ids';
 import type { GroupId, InstanceId, MonoTime, ServiceId } from '../../core/ids';
-import type { CallFacts } from '../../ports/gateway';
+import type { RequestFacts } from '../../ports/gateway';
 import { fail } from '../../utils/errors';
 import type { StepError } from '../../utils/errors';
 import type { GatewayContext } from './context';
@@ -17,7 +17,7 @@
   readonly req: IncomingMessage;
   readonly res: ServerResponse;
   readonly body: Buffer;
-  readonly facts: CallFacts;
+  readonly facts: RequestFacts;
   readonly route: Route;
   readonly service: ServiceId;
   readonly caller: Caller;
@@ -58,7 +58,7 @@
 }
 
 export function deadlinesOf(
-  facts: CallFacts,
+  facts: RequestFacts,
   route: Route,
   arrivedAt: MonoTime,
 ): Pick<Exchange, 'deadline' | 'answerBy' | 'slotBy'> {
--- a/src/app/gateway/gateway.ts
+++ b/src/app/gateway/gateway.ts
@@ -1,7 +1,7 @@
 /** Assembles, starts and gracefully stops one gateway daemon. */
 
 import { createUpstream } from '../../adapters/upstream/upstream';
-import type { Dialect, EraTable, Feeds, Servers } from '../../ports/gateway';
+import type { HeaderDialect, EraTable, Feeds, Servers } from '../../ports/gateway';
 import { later } from '../../core/ids';
 import { FIRST_ERA } from '../../core/store-era';
 import { pause } from '../../utils/pause';
@@ -30,7 +30,7 @@
   readonly feeds: Feeds;
   readonly table: EraTable;
   readonly servers: Servers;
-  readonly dialect: Dialect;
+  readonly dialect: HeaderDialect;
   readonly readyPath: string;
   /** Registers this daemon's peer address where others find it, or removes it. */
   readonly announce: (isHere: boolean) => Promise<void>;
--- a/src/app/gateway/http-server.ts
+++ b/src/app/gateway/http-server.ts
@@ -13,7 +13,7 @@
 import type { MonoTime } from '../../core/ids';
 import { parseAddress } from '../../utils/address';
 import { fail } from '../../utils/errors';
-import type { CallFacts, Dialect } from '../../ports/gateway';
+import type { RequestFacts, HeaderDialect } from '../../ports/gateway';
 import type { ConfigView } from './config-view';
 import type { GatewayContext } from './context';
 import { answerLocally, deadlinesOf } from './exchange';
@@ -24,7 +24,7 @@
 export interface HttpServerDeps {
   readonly ctx: GatewayContext;
   readonly config: ConfigView;
-  readonly dialect: Dialect;
+  readonly dialect: HeaderDialect;
   readonly plain: PlainCalls;
   readonly streams: StreamCalls;
   /** Called for each request that is routed to a service. */
@@ -133,7 +133,7 @@
   const arrivedAt = ctx.clock.now();
   const callerSignal = watchCaller(res);
   const table = config.table.value;
-  const facts = dialect.readCall(req.headers);
+  const facts = dialect.parseRequest(req.headers);
   if (!table) {
     refuse(deps, facts, res, [503, 'no configuration received yet']);
     return;
@@ -171,7 +171,7 @@
   readonly req: IncomingMessage;
   readonly res: ServerResponse;
   readonly body: Buffer;
-  readonly facts: CallFacts;
+  readonly facts: RequestFacts;
   readonly arrivedAt: MonoTime;
   readonly gone: AbortSignal;
 }
@@ -226,7 +226,7 @@
 
 function refuse(
   { ctx, config }: HttpServerDeps,
-  facts: CallFacts,
+  facts: RequestFacts,
   res: ServerResponse,
   [status, message, retryAfter]: Refusal,
 ): void {
--- a/src/app/gateway/plain-call.ts
+++ b/src/app/gateway/plain-call.ts
@@ -12,7 +12,7 @@
 import type { BackendServer } from '../../core/gateway/types';
 import { later } from '../../core/ids';
 import type { InstanceId, MonoTime, ServiceId } from '../../core/ids';
-import type { AnswerFacts, Dialect } from '../../ports/gateway';
+import type { ResponseFacts, HeaderDialect } from '../../ports/gateway';
 import { fail } from '../../utils/errors';
 import { minOrZero } from './throttle';
 import type { Throttle } from './throttle';
@@ -33,7 +33,7 @@
   readonly ctx: GatewayContext;
   readonly roster: ServerRegistry;
   readonly upstream: Upstream;
-  readonly dialect: Dialect;
+  readonly dialect: HeaderDialect;
   readonly retries: Retries;
   readonly notices: ServerNotices;
   readonly throttle: Throttle;
@@ -56,7 +56,7 @@
       readonly kind: 'answered';
       readonly res: IncomingMessage;
       readonly body: Buffer;
-      readonly facts: AnswerFacts;
+      readonly facts: ResponseFacts;
     }
   /** No connection to the server. */
   | { readonly kind: 'not-sent'; readonly reason: string }
--- a/src/app/gateway/server-notices.ts
+++ b/src/app/gateway/server-notices.ts
@@ -6,7 +6,7 @@
 import type { IncomingMessage } from 'node:http';
 
 import type { InstanceId, MonoTime } from '../../core/ids';
-import type { AnswerFacts, Dialect, ServerHead } from '../../ports/gateway';
+import type { ResponseFacts, HeaderDialect, ResponseHeaders } from '../../ports/gateway';
 import type { Throttle } from './throttle';
 import type { GatewayContext } from './context';
 import type { LeavingServers } from './leaving-servers';
@@ -18,16 +18,16 @@
     server: InstanceId,
     res: Pick<IncomingMessage, 'statusCode' | 'headers'>,
     sentAt: MonoTime,
-  ): AnswerFacts;
+  ): ResponseFacts;
   /**
    * Applies the headers of an answer to an order or a report request. Such an answer without a
    * limit does not end a limit.
    */
-  apply(head: ServerHead): void;
+  apply(head: ResponseHeaders): void;
 }
 
 export interface ServerNoticesOptions {
-  readonly dialect: Dialect;
+  readonly dialect: HeaderDialect;
   readonly limits: RateLimits;
   readonly throttle: Throttle;
   readonly leaving: LeavingServers;
@@ -37,12 +37,12 @@
   { clock, logger }: GatewayContext,
   { dialect, limits: rateLimits, throttle, leaving: leavingServers }: ServerNoticesOptions,
 ): ServerNotices {
-  const apply = ({ server, facts }: ServerHead, sentAt?: MonoTime): void => {
+  const apply = ({ server, facts }: ResponseHeaders, sentAt?: MonoTime): void => {
     for (const { about, header } of facts.unreadable) {
       const fields = { step: 'statement', server, about, header };
       logger.warn('header of a server not understood', fields);
     }
-    if (facts.isOfOther) return;
+    if (facts.isFromOtherServer) return;
     // An unreadable limit does not mean that there is none.
     const isLimitUnreadable = facts.unreadable.some(({ about }) => about === 'limit');
     const { limitPerS: perSecond } = facts;
@@ -54,9 +54,9 @@
 
   return {
     read: (server, { statusCode = 0, headers }, sentAt) => {
-      const facts = dialect.readAnswer(statusCode, headers);
+      const facts = dialect.parseResponse(statusCode, headers);
       apply({ server, facts }, sentAt);
-      if (!facts.isOfOther && facts.restMs !== undefined) {
+      if (!facts.isFromOtherServer && facts.restMs !== undefined) {
         throttle.noteBackoff(server, facts.restMs);
       }
       return facts;
--- a/src/app/gateway/stream-relay.ts
+++ b/src/app/gateway/stream-relay.ts
@@ -3,7 +3,7 @@
 import type { Answered } from '../../adapters/upstream/upstream';
 import { createEventReader } from '../../core/gateway/events';
 import type { InstanceId, MonoTime } from '../../core/ids';
-import type { AnswerFacts, Dialect } from '../../ports/gateway';
+import type { ResponseFacts, HeaderDialect } from '../../ports/gateway';
 import type { GroupRegistry } from './group-registry';
 import type { ServingGroup } from './group-index';
 import type { GatewayContext } from './context';
@@ -13,7 +13,7 @@
 export interface RelayDeps {
   readonly ctx: GatewayContext;
   readonly board: GroupRegistry;
-  readonly dialect: Dialect;
+  readonly dialect: HeaderDialect;
   readonly notices: ServerNotices;
 }
 
@@ -98,7 +98,7 @@
   exchange: Exchange,
   state: StreamState,
   { res, destroy, hasFailed }: Answered,
-  facts: AnswerFacts,
+  facts: ResponseFacts,
 ): Promise<AttemptResult> {
   const status = res.statusCode ?? 0;
   const chunks: Buffer[] = [];
--- a/src/ports/gateway.ts
+++ b/src/ports/gateway.ts
@@ -84,22 +84,22 @@
 }
 
 /** Parsed headers of a response to an order or a status request. */
-export interface ServerHead {
+export interface ResponseHeaders {
   readonly server: InstanceId;
-  readonly facts: AnswerFacts;
+  readonly facts: ResponseFacts;
 }
 
 /** Sends orders and status requests to backend servers. */
 export interface Servers {
   /** Headers of each response, unless another server or a restarted one answered. */
-  readonly heads: Observable<ServerHead>;
+  readonly heads: Observable<ResponseHeaders>;
   /** Never rejects: without a response the result is `unknown`, or `not-sent` if nothing was sent. */
   order(server: BackendServer, order: ServerOrder): Promise<OrderResult>;
   report(server: BackendServer, timeoutMs: number): ResultAsync<ServerReport, StepError>;
 }
 
 /** Facts from the headers of a caller's request. */
-export interface CallFacts {
+export interface RequestFacts {
   readonly requestId?: string;
   /** How long the caller will wait, milliseconds. */
   readonly waitMs?: number;
@@ -124,13 +124,13 @@
 }
 
 /** Facts from the status and headers of a backend server's response. */
-export interface AnswerFacts {
+export interface ResponseFacts {
   readonly requestId?: string;
   readonly isSigned: boolean;
   /** The server states that the request was not executed. */
   readonly isNotExecuted: boolean;
   /** Another server than the intended one answered: the other facts describe that server. */
-  readonly isOfOther: boolean;
+  readonly isFromOtherServer: boolean;
   /** The server at fault for the request not running, if the response names another one. */
   readonly faultAt?: InstanceId;
   /** The server's rate limit across all daemons, requests per second. */
@@ -140,19 +140,19 @@
   /** The server is shutting down and takes no new requests until it has restarted. */
   readonly isLeaving: boolean;
   /** Headers about the server's own state that could not be parsed. */
-  readonly unreadable: readonly Unreadable[];
+  readonly unreadable: readonly MalformedHeader[];
 }
 
 /** A malformed header: name and value, truncated if long. */
-export interface Unreadable {
+export interface MalformedHeader {
   readonly about: 'limit' | 'rest' | 'leaving';
   readonly header: string;
 }
 
 /** Translates headers of callers and backend servers. Raw headers alternate names and values, as in Node. */
-export interface Dialect {
-  readCall(headers: IncomingHttpHeaders): CallFacts;
-  readAnswer(status: number, headers: IncomingHttpHeaders): AnswerFacts;
+export interface HeaderDialect {
+  parseRequest(headers: IncomingHttpHeaders): RequestFacts;
+  parseResponse(status: number, headers: IncomingHttpHeaders): ResponseFacts;
   /** Headers of the request to the backend server. */
   forward(rawHeaders: readonly string[], facts: ForwardFacts): string[];
   /** Headers of the response to the caller, without hop-by-hop and framing headers. */
--- a/stand-ins/users-platform/document.ts
+++ b/stand-ins/users-platform/document.ts
@@ -39,7 +39,7 @@
 }
 
 /** Default routes: a resumable stream, a safe and an unsafe call. */
-export const USUAL_ROUTES: readonly object[] = [
+export const DEFAULT_ROUTES: readonly object[] = [
   describeRoute('stream', 'streaming', LLM_SERVICE, { resumable: true, maxGapMs: 250 }),
   describeRoute('safe', 'safe', PLAIN_SERVICE),
   describeRoute('unsafe', 'unsafe', PLAIN_SERVICE, { maxAttempts: 1 }),
--- a/stand-ins/users-platform/servers.ts
+++ b/stand-ins/users-platform/servers.ts
@@ -142,7 +142,7 @@
     if (!isAlive || !isAddressee(name, req, res)) return;
     if (req.url === PATHS.order) void takeOrder(req, res);
     else if (req.url === PATHS.report) report(res);
-    else if (statements.meet(name, req, res) === 'turned-away') return;
+    else if (statements.receive(name, req, res) === 'turned-away') return;
     else if (state()?.joined?.state === 'open') void stream(req, res);
     else res.writeHead(503, { [HEADERS.notExecuted]: '1' }).end();
   });
@@ -169,7 +169,7 @@
     return true;
   };
   const server = createServer((req, res) => {
-    if (!isAddressee(id, req, res) || statements.meet(id, req, res) === 'turned-away') return;
+    if (!isAddressee(id, req, res) || statements.receive(id, req, res) === 'turned-away') return;
     void readBody(req).then((body) => {
       if (take('refuse')) {
         res.writeHead(503, { [HEADERS.notExecuted]: '1' }).end();
--- a/stand-ins/users-platform/statements.ts
+++ b/stand-ins/users-platform/statements.ts
@@ -15,12 +15,12 @@
 
 export interface Statements {
   /** Headers that a server adds to all its responses. */
-  readonly says: Map<ServerName, Readonly<Record<string, string>>>;
+  readonly responseHeaders: Map<ServerName, Readonly<Record<string, string>>>;
   /** Servers that reject every request as not executed. */
   readonly shedding: Set<ServerName>;
   readonly arrivals: readonly Arrival[];
   /** Records a request; sends the rejection where the server sheds load. */
-  meet(server: ServerName, req: IncomingMessage, res: ServerResponse): 'taken' | 'turned-away';
+  receive(server: ServerName, req: IncomingMessage, res: ServerResponse): 'taken' | 'turned-away';
 }
 
 export function createStatements(): Statements {
@@ -28,10 +28,10 @@
   const shedding = new Set<ServerName>();
   const arrivals: Arrival[] = [];
   return {
-    says,
+    responseHeaders: says,
     shedding,
     arrivals,
-    meet: (server, req, res) => {
+    receive: (server, req, res) => {
       const requestId = String(req.headers[HEADERS.requestId] ?? '');
       arrivals.push({ server, requestId, at: performance.now() });
       for (const [name, value] of Object.entries(says.get(server) ?? {}))
--- a/tests/admin.test.ts
+++ b/tests/admin.test.ts
@@ -195,7 +195,7 @@
     await send(PLATFORM, 'POST', 'drain', { instance: 'i1' });
     await send(PLATFORM, 'POST', 'drain', { daemon: 'e2' });
     await send(PLATFORM, 'POST', 'drain', { daemon: 'e1' });
-    expect(parts.asked).toEqual(['instance i1', 'admin-drain e2', 'stop']);
+    expect(parts.calls).toEqual(['instance i1', 'admin-drain e2', 'stop']);
     expect((await send(PLATFORM, 'POST', 'drain', { daemon: 'e9' })).status).toBe(404);
     expect((await send(PLATFORM, 'POST', 'drain', {})).status).toBe(400);
   });
@@ -203,7 +203,7 @@
   it('stop this daemon when another daemon requests it', () => {
     parts.direct.next({ from: brandAs<DaemonId>('e2'), topic: 'admin-drain', value: {} });
     parts.direct.next({ from: brandAs<DaemonId>('e2'), topic: 'other', value: {} });
-    expect(parts.asked).toEqual(['stop']);
+    expect(parts.calls).toEqual(['stop']);
   });
 });
 
--- a/tests/cli.test.ts
+++ b/tests/cli.test.ts
@@ -81,7 +81,7 @@
   ])('exits with 2 on %j without sending a request', async (args) => {
     expect(await nutmegstack(...args)).toBe(2);
     expect(stderr).toContain('usage');
-    expect(parts.asked).toEqual([]);
+    expect(parts.calls).toEqual([]);
   });
 
   it('prints its version', async () => {
@@ -183,7 +183,7 @@
   it('drain daemons and instances', async () => {
     expect(await nutmegstack('drain', '--daemon', 'e2')).toBe(0);
     expect(await nutmegstack('drain', '--instance', 'i1')).toBe(0);
-    expect(parts.asked).toEqual(['admin-drain e2', 'instance i1']);
+    expect(parts.calls).toEqual(['admin-drain e2', 'instance i1']);
   });
 
   it('create a key and its hash without a daemon', async () => {
--- a/tests/config-submit.test.ts
+++ b/tests/config-submit.test.ts
@@ -16,7 +16,7 @@
 
 beforeEach(async () => {
   world = createConfigWorld();
-  daemon = world.daemon('a');
+  daemon = world.addDaemon('a');
   await daemon.config.start();
 });
 
@@ -80,7 +80,7 @@
 
   it('accepts one of several concurrent changes and refuses the others', async () => {
     await amend(daemon, 'c0', 1, 0);
-    const other = world.daemon('b');
+    const other = world.addDaemon('b');
     const submissions = [2, 3, 4, 5].map((share, i) =>
       amend(i % 2 === 0 ? daemon : other, `c${share}`, share, 1).then(
         () => share,
--- a/tests/config-sync.test.ts
+++ b/tests/config-sync.test.ts
@@ -12,7 +12,7 @@
 
 async function startDaemons(count: number, settings = {}): Promise<void> {
   world = createConfigWorld(settings);
-  daemons = Array.from({ length: count }, (_, i) => world.daemon(`daemon-${i}`));
+  daemons = Array.from({ length: count }, (_, i) => world.addDaemon(`daemon-${i}`));
   await Promise.all(daemons.map(({ config }) => config.start()));
 }
 
@@ -65,7 +65,7 @@
     await startDaemons(2);
     await amend(at(0), 'c1', 7, 0);
     await allInForce(1);
-    const late = world.daemon('late');
+    const late = world.addDaemon('late');
     late.faults.down = true;
     await late.config.start();
     await inForce(late.config, 1);
--- a/tests/control-lease.test.ts
+++ b/tests/control-lease.test.ts
@@ -91,7 +91,7 @@
   it('lapses for a holder that cannot reach the table, and is acquired by another only after that', async () => {
     const world = await startServing(true);
     const isolated = holderIn(world);
-    isolated.cut.table = true;
+    isolated.partitioned.table = true;
     await world.advance(5_000);
     expect(holderIn(world).id).toBe(isolated.id);
     await world.advance(13_000);
--- a/tests/control-recovery.test.ts
+++ b/tests/control-recovery.test.ts
@@ -74,7 +74,7 @@
     const before = membersOf(world);
     const holder = world.daemons.find(({ control }) => control.heldDomains().length > 0);
     if (!holder) throw new Error('no holder');
-    holder.cut.engines = true;
+    holder.partitioned.engines = true;
     await world.advance(40_000);
     expect(membersOf(world)).toEqual(before);
     const others = world.daemons.filter((daemon) => daemon !== holder);
--- a/tests/control-stand-ins.test.ts
+++ b/tests/control-stand-ins.test.ts
@@ -13,7 +13,7 @@
 import { createTable } from '../src/adapters/platform/table';
 import { createClock, createRandom } from '../src/adapters/runtime';
 import { createControl } from '../src/app/control/control';
-import type { DrivenControl } from '../src/app/control/control';
+import type { ControlPlane } from '../src/app/control/control';
 import type { Config } from '../src/core/config/types';
 import type { ConfigVersion } from '../src/core/ids';
 import { configOf, modelSpec } from './support/control-world';
@@ -25,10 +25,10 @@
 interface Fixture {
   readonly platform: Platform;
   readonly engine: EngineStandIn;
-  readonly controls: Map<string, DrivenControl>;
+  readonly controls: Map<string, ControlPlane>;
   readonly hub: ReturnType<typeof createFakeHub>;
   readonly config: BehaviorSubject<Config>;
-  addDaemon(id: string): Promise<DrivenControl>;
+  addDaemon(id: string): Promise<ControlPlane>;
 }
 
 let cleanups: (() => Promise<unknown>)[] = [];
@@ -54,9 +54,9 @@
   );
   const hub = createFakeHub();
   const config = new BehaviorSubject<Config>(configOf(modelSpec('m')));
-  const controls = new Map<string, DrivenControl>();
+  const controls = new Map<string, ControlPlane>();
 
-  const addDaemon = async (id: string): Promise<DrivenControl> => {
+  const addDaemon = async (id: string): Promise<ControlPlane> => {
     const { self, gossip, peers } = hub.join(id, () => 1 as ConfigVersion);
     const enginePort = createEngine({ timeoutMs: 300 });
     const control = createControl({
@@ -74,7 +74,7 @@
         tickMs: 20,
         probeMs: 100,
         probeBytesPerSecond: 1e6,
-        stateMs: 100,
+        statementMs: 100,
         pollMs: 100,
         listMs: 100,
         lease: { ttlMs: 2_000, marginMs: 200, renewMs: 400, rankDelayMs: 300 },
@@ -92,7 +92,7 @@
   return { platform, engine, controls, hub, config, addDaemon };
 }
 
-function routableGroups(control: DrivenControl) {
+function routableGroups(control: ControlPlane) {
   return control.routable('m' as never);
 }
 
@@ -106,7 +106,7 @@
   }
 }
 
-function holderOf({ controls }: Fixture): [string, DrivenControl] | undefined {
+function holderOf({ controls }: Fixture): [string, ControlPlane] | undefined {
   return [...controls].find(([, control]) => control.heldDomains().length > 0);
 }
 
--- a/tests/faults/groups.test.ts
+++ b/tests/faults/groups.test.ts
@@ -118,10 +118,10 @@
   ...(['table', 'engines', 'gossip'] as const).map((what) => ({
     name: `holder cut off: ${what}`,
     strike: (world: World) => {
-      Object.assign(holder(world)?.cut ?? {}, { [what]: true });
+      Object.assign(holder(world)?.partitioned ?? {}, { [what]: true });
     },
     end: (world: World) => {
-      for (const { cut } of world.daemons) cut[what] = false;
+      for (const { partitioned: cut } of world.daemons) cut[what] = false;
     },
   })),
   {
--- a/tests/faults/membership-network.test.ts
+++ b/tests/faults/membership-network.test.ts
@@ -2,7 +2,7 @@
 import { afterEach, describe, expect, it } from 'vitest';
 
 import type { EpochTime } from '../../src/core/ids';
-import { beliefOf, startFleet, until } from '../support/membership-daemons';
+import { stateIn, startFleet, until } from '../support/membership-daemons';
 import type { Fleet } from '../support/membership-daemons';
 import { closed, rawSocket } from '../support/raw-peers';
 
@@ -40,7 +40,7 @@
     );
     await until('all are alive', () =>
       fleet.daemons.every((viewer) =>
-        fleet.daemons.every(({ id }) => beliefOf(viewer, id) === 'alive'),
+        fleet.daemons.every(({ id }) => stateIn(viewer, id) === 'alive'),
       ),
     );
     expect([...given]).toEqual([]);
--- a/tests/fuzz/groups/commands.ts
+++ b/tests/fuzz/groups/commands.ts
@@ -99,16 +99,16 @@
     replacements++;
     await world.addDaemon(`daemon${replacements}`);
   },
-  'partition from engines': onDaemon(({ cut }) => {
+  'partition from engines': onDaemon(({ partitioned: cut }) => {
     cut.engines = true;
   }),
-  'partition from table': onDaemon(({ cut }) => {
+  'partition from table': onDaemon(({ partitioned: cut }) => {
     cut.table = true;
   }),
-  'partition from peers': onDaemon(({ cut }) => {
+  'partition from peers': onDaemon(({ partitioned: cut }) => {
     cut.gossip = true;
   }),
-  heal: onDaemon(({ cut }) => {
+  heal: onDaemon(({ partitioned: cut }) => {
     Object.assign(cut, { engines: false, table: false, gossip: false });
   }),
   'table down': ({ table }) => {
--- a/tests/fuzz/groups/groups.ts
+++ b/tests/fuzz/groups/groups.ts
@@ -49,7 +49,7 @@
   for (const daemon of world.daemons) {
     daemon.running = true;
     Object.assign(daemon, { lateOrders: 0 });
-    Object.assign(daemon.cut, { engines: false, table: false, gossip: false });
+    Object.assign(daemon.partitioned, { engines: false, table: false, gossip: false });
   }
   for (const engine of [...world.engines.values()]) {
     if (!engine.up) restart(engine, world.now());
--- a/tests/gateway/gateway-fixture.ts
+++ b/tests/gateway/gateway-fixture.ts
@@ -8,7 +8,7 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 
-import { describeConfig, USUAL_ROUTES } from '../../stand-ins/users-platform/document';
+import { describeConfig, DEFAULT_ROUTES } from '../../stand-ins/users-platform/document';
 import { startPlatform } from '../../stand-ins/users-platform/start';
 import type { PlatformStandIn } from '../../stand-ins/users-platform/start';
 import type { ServerName } from '../../src/core/ids';
@@ -79,7 +79,7 @@
   );
   const organisations = [{ name: 'depot', apiKeys: [KEY] }];
   platform.configure(
-    describeConfig({ version: 1, routes: USUAL_ROUTES, engine: ENGINE, organisations }),
+    describeConfig({ version: 1, routes: DEFAULT_ROUTES, engine: ENGINE, organisations }),
   );
   await until(() => platform.fleet.serving(SMALL) === 2 && platform.fleet.serving(LARGE) === 2);
 
--- a/tests/gateway/leaving-server.test.ts
+++ b/tests/gateway/leaving-server.test.ts
@@ -33,7 +33,7 @@
     const servers = isStream
       ? fixture.heads(SMALL).slice(0, 1)
       : [0, 1].map((n) => brandAs<ServerName>(`plain-${n}`));
-    const { says, arrivals } = fixture.platform.statements;
+    const { responseHeaders: says, arrivals } = fixture.platform.statements;
     for (const server of servers) says.set(server, { [HEADERS.leaving]: '1' });
     const from = performance.now();
     const sent = await fixture.sendRequests(path, 10, 4_000);
--- a/tests/gateway/leaving.test.ts
+++ b/tests/gateway/leaving.test.ts
@@ -74,12 +74,12 @@
     ['yes', false, 1],
     ['', false, 1],
   ])('is parsed from the header: %j', (text, isLeaving, unreadable) => {
-    const facts = dialect.readAnswer(200, { [HEADERS.leaving]: text });
+    const facts = dialect.parseResponse(200, { [HEADERS.leaving]: text });
     expect(facts.isLeaving).toBe(isLeaving);
     expect(facts.unreadable).toHaveLength(unreadable);
   });
 
   it('is not the intended one if another server answers at its address', () => {
-    expect(dialect.readAnswer(421, { [HEADERS.leaving]: '1' }).isOfOther).toBe(true);
+    expect(dialect.parseResponse(421, { [HEADERS.leaving]: '1' }).isFromOtherServer).toBe(true);
   });
 });
--- a/tests/gateway/rate-limits.test.ts
+++ b/tests/gateway/rate-limits.test.ts
@@ -210,7 +210,7 @@
     ['3, 1.5', 1.5],
     ['3, x', 3],
   ])('%j is parsed', (text, perSecond) => {
-    expect(dialect.readAnswer(200, { [HEADERS.limit]: text })).toMatchObject({
+    expect(dialect.parseResponse(200, { [HEADERS.limit]: text })).toMatchObject({
       limitPerS: perSecond,
       unreadable: [],
     });
@@ -219,7 +219,7 @@
   it.each(['', '-1', 'NaN', '1e400', 'Infinity', '1 2', '0x10'])(
     '%j is rejected as unreadable',
     (text) => {
-      const facts = dialect.readAnswer(200, { [HEADERS.limit]: text });
+      const facts = dialect.parseResponse(200, { [HEADERS.limit]: text });
       expect(facts.limitPerS).toBeUndefined();
       expect(facts.unreadable).toEqual([{ about: 'limit', header: `${HEADERS.limit}: ${text}` }]);
     },
--- a/tests/gateway/server-backoff-daemons.test.ts
+++ b/tests/gateway/server-backoff-daemons.test.ts
@@ -39,7 +39,7 @@
   path: string,
   perS: number,
 ): Promise<readonly SentRequest[]> {
-  const { says, shedding } = fixture.platform.statements;
+  const { responseHeaders: says, shedding } = fixture.platform.statements;
   for (const server of servers) {
     says.set(server, { 'Retry-After': String(BACKOFF_S) });
     shedding.add(server);
--- a/tests/gateway/server-backoff.test.ts
+++ b/tests/gateway/server-backoff.test.ts
@@ -52,7 +52,7 @@
     ['0.25', 250],
     ['0', 0],
   ])('%j is parsed', (text, restMs) => {
-    expect(dialect.readAnswer(503, { 'retry-after': text })).toMatchObject({
+    expect(dialect.parseResponse(503, { 'retry-after': text })).toMatchObject({
       restMs,
       unreadable: [],
     });
@@ -60,7 +60,7 @@
 
   it('may be a date', () => {
     const text = new Date(Date.now() + 60_000).toUTCString();
-    const { restMs = 0 } = dialect.readAnswer(503, { 'retry-after': text });
+    const { restMs = 0 } = dialect.parseResponse(503, { 'retry-after': text });
     expect(restMs).toBeGreaterThan(55_000);
     expect(restMs).toBeLessThanOrEqual(60_000);
   });
@@ -69,16 +69,16 @@
     const date = new Date(Date.now() - 3_600_000);
     const until = new Date(date.getTime() + 7_000).toUTCString();
     const headers = { date: date.toUTCString(), 'retry-after': until };
-    expect(dialect.readAnswer(503, headers).restMs).toBe(7_000);
+    expect(dialect.parseResponse(503, headers).restMs).toBe(7_000);
   });
 
   it.each(['', '-3', 'NaN', '1e400', 'soon', '3, 5'])('%j is reported as unreadable', (text) => {
-    const facts = dialect.readAnswer(503, { 'retry-after': text });
+    const facts = dialect.parseResponse(503, { 'retry-after': text });
     expect(facts.restMs).toBeUndefined();
     expect(facts.unreadable).toEqual([{ about: 'rest', header: `retry-after: ${text}` }]);
   });
 
   it('is ignored in a successful response', () => {
-    expect(dialect.readAnswer(200, { 'retry-after': '3' }).restMs).toBeUndefined();
+    expect(dialect.parseResponse(200, { 'retry-after': '3' }).restMs).toBeUndefined();
   });
 });
--- a/tests/gateway/server-notices.test.ts
+++ b/tests/gateway/server-notices.test.ts
@@ -11,7 +11,7 @@
 import { createServerNotices } from '../../src/app/gateway/server-notices';
 import { brandAs } from '../../src/core/ids';
 import type { DaemonId, EpochTime, GroupId, Epoch, InstanceId } from '../../src/core/ids';
-import type { ServerHead } from '../../src/ports/gateway';
+import type { ResponseHeaders } from '../../src/ports/gateway';
 import { at, instance, makeContext, makeRateLimits, makeServer } from './support';
 
 const SERVER = instance('s1');
@@ -72,9 +72,9 @@
 
   it('do not end a limit by an answer to an order, which need not name it', () => {
     const { statements: notices, limits: rateLimits, wait } = setUp();
-    const headOf = (headers: Record<string, string>): ServerHead => ({
+    const headOf = (headers: Record<string, string>): ResponseHeaders => ({
       server: SERVER,
-      facts: dialect.readAnswer(202, headers),
+      facts: dialect.parseResponse(202, headers),
     });
     notices.apply(headOf({ [HEADERS.limit]: '2' }));
     expect(rateLimits.tokens(SERVER)).toBe(0);
@@ -102,7 +102,7 @@
     const { port } = server.address() as AddressInfo;
     const target = makeServer('s1', { address: `127.0.0.1:${port}` });
     const servers = createServers();
-    const heads: ServerHead[] = [];
+    const heads: ResponseHeaders[] = [];
     servers.heads.subscribe((head) => heads.push(head));
     await servers.report(target, 1_000);
     const group = { group: brandAs<GroupId>('g'), epoch: brandAs<Epoch>(1) };
--- a/tests/gateway/server-rate-limit.test.ts
+++ b/tests/gateway/server-rate-limit.test.ts
@@ -32,7 +32,7 @@
 }
 
 function announce(servers: readonly ServerName[], headers: Readonly<Record<string, string>>): void {
-  for (const server of servers) fixture.platform.statements.says.set(server, headers);
+  for (const server of servers) fixture.platform.statements.responseHeaders.set(server, headers);
 }
 
 /** Checks each server's arrivals against the limit and returns the total count. */
--- a/tests/gateway/whole-path.test.ts
+++ b/tests/gateway/whole-path.test.ts
@@ -9,7 +9,7 @@
 import {
   describeConfig,
   describeRoute,
-  USUAL_ROUTES,
+  DEFAULT_ROUTES,
 } from '../../stand-ins/users-platform/document';
 import { PLAIN_SERVICE, startPlatform } from '../../stand-ins/users-platform/start';
 import type { PlatformStandIn } from '../../stand-ins/users-platform/start';
@@ -111,7 +111,7 @@
   for (let n = 0; n < DAEMONS; n++) {
     daemons.push({ n, process: launch(n), front: portOf(n, 0) });
   }
-  platform.configure(documentOf(1, USUAL_ROUTES));
+  platform.configure(documentOf(1, DEFAULT_ROUTES));
   await awaitGroups();
 });
 
@@ -224,7 +224,7 @@
 
   it('have a new version in force on all daemons, also after a kill', async () => {
     platform.configure(
-      documentOf(2, [...USUAL_ROUTES, describeRoute('added', 'safe', PLAIN_SERVICE)]),
+      documentOf(2, [...DEFAULT_ROUTES, describeRoute('added', 'safe', PLAIN_SERVICE)]),
     );
     const isInForce = async ({ front: address }: Daemon): Promise<boolean> =>
       (await send(address, '/added/x')).status === 200;
@@ -284,7 +284,7 @@
   it("reload everything once the store's history is no longer available", async () => {
     platform.store.compact();
     platform.configure(
-      documentOf(3, [...USUAL_ROUTES, describeRoute('later', 'safe', PLAIN_SERVICE)]),
+      documentOf(3, [...DEFAULT_ROUTES, describeRoute('later', 'safe', PLAIN_SERVICE)]),
     );
     for (const { front: address } of daemons) {
       await until(async () => (await send(address, '/later/x')).status === 200);
@@ -293,7 +293,7 @@
 
   it('keep serving when the store is restored from an older copy, under a new fencing number', async () => {
     platform.configure(
-      documentOf(4, [...USUAL_ROUTES, describeRoute('newest', 'safe', PLAIN_SERVICE)]),
+      documentOf(4, [...DEFAULT_ROUTES, describeRoute('newest', 'safe', PLAIN_SERVICE)]),
     );
     for (const { front: address } of daemons) {
       await until(async () => (await send(address, '/newest/x')).status === 200);
@@ -318,7 +318,7 @@
     await until(() => fencing() > before);
     expect(isOfEra(brandAs<FencingNumber>(fencing()), era(platform.store.era()))).toBe(true);
     platform.configure(
-      documentOf(5, [...USUAL_ROUTES, describeRoute('last', 'safe', PLAIN_SERVICE)]),
+      documentOf(5, [...DEFAULT_ROUTES, describeRoute('last', 'safe', PLAIN_SERVICE)]),
     );
     for (const { front: address } of daemons) {
       await until(async () => (await send(address, '/last/x')).status === 200);
--- a/tests/membership-fleet.test.ts
+++ b/tests/membership-fleet.test.ts
@@ -2,7 +2,7 @@
 
 import type { GossipEntry } from '../src/app/parts';
 import type { EpochTime } from '../src/core/ids';
-import { beliefOf, startFleet, until } from './support/membership-daemons';
+import { stateIn, startFleet, until } from './support/membership-daemons';
 import type { Fleet, TestDaemon } from './support/membership-daemons';
 
 let fleet: Fleet;
@@ -80,10 +80,10 @@
     fleet = await startFleet({ count: 5 });
     await allKnow(5);
     const seen = new Set<string>();
-    at(1).part.changes.subscribe(() => seen.add(beliefOf(at(1), 'daemon-0')));
+    at(1).part.changes.subscribe(() => seen.add(stateIn(at(1), 'daemon-0')));
     await at(0).part.stop();
     await until('daemon-0 is leaving or gone', () =>
-      others().every((daemon) => ['leaving', 'gone'].includes(beliefOf(daemon, 'daemon-0'))),
+      others().every((daemon) => ['leaving', 'gone'].includes(stateIn(daemon, 'daemon-0'))),
     );
     expect(seen.has('leaving')).toBe(true);
     expect(seen.has('suspect')).toBe(false);
@@ -92,9 +92,9 @@
   it('declare a partitioned daemon dead, and alive again once the partition heals', async () => {
     fleet = await startFleet({ count: 5 });
     await allKnow(5);
-    fleet.cut('daemon-0');
+    fleet.partition('daemon-0');
     await until('daemon-0 is gone', () =>
-      others().every((daemon) => beliefOf(daemon, 'daemon-0') === 'gone'),
+      others().every((daemon) => stateIn(daemon, 'daemon-0') === 'gone'),
     );
     await until('all others are gone for daemon-0', () => at(0).part.peers().length === 1);
     at(1).part.gossip.publish('topic', 'missed', 1, soon());
@@ -114,7 +114,7 @@
     await until('the new entry is known', () =>
       [at(1), at(2)].every(({ part }) => part.gossip.entries('topic')[0]?.value === 'new'),
     );
-    await until('it is alive', () => beliefOf(at(1), 'daemon-0') === 'alive');
+    await until('it is alive', () => stateIn(at(1), 'daemon-0') === 'alive');
   });
 
   it('deliver a direct message to one daemon only', async () => {
--- a/tests/soak/statements.ts
+++ b/tests/soak/statements.ts
@@ -126,7 +126,7 @@
   const { statements, fleet } = platform;
   const senders = chooseSenders(world, random);
   for (const sender of senders) {
-    statements.says.set(sender.name, HEADERS_BY_KIND[sender.kind](sender, random));
+    statements.responseHeaders.set(sender.name, HEADERS_BY_KIND[sender.kind](sender, random));
     if (sender.kind === 'rest') statements.shedding.add(sender.name);
   }
   await pause(ROUND_MS);
@@ -137,7 +137,7 @@
     return CHECKS[sender.kind](sender, own, daemonOf);
   });
   for (const { kind, name, head } of senders) {
-    statements.says.delete(name);
+    statements.responseHeaders.delete(name);
     statements.shedding.delete(name);
     if (kind !== 'leaving' || !head) continue;
     fleet.kill(head.id);
--- a/tests/soak/world.ts
+++ b/tests/soak/world.ts
@@ -8,7 +8,7 @@
 import {
   describeConfig,
   describeRoute,
-  USUAL_ROUTES,
+  DEFAULT_ROUTES,
 } from '../../stand-ins/users-platform/document';
 import { PLAIN_SERVICE, startPlatform } from '../../stand-ins/users-platform/start';
 import type { PlatformStandIn } from '../../stand-ins/users-platform/start';
@@ -100,7 +100,7 @@
   const configure = (): void => {
     version += 1;
     const routes = [
-      ...USUAL_ROUTES,
+      ...DEFAULT_ROUTES,
       ...addedRoutes.map((name) => describeRoute(name, 'safe', PLAIN_SERVICE)),
     ];
     const organisations = [{ name: 'depot', apiKeys: keys }];
--- a/tests/support/admin-parts.ts
+++ b/tests/support/admin-parts.ts
@@ -54,7 +54,7 @@
   readonly deps: AdminDeps;
   readonly direct: Subject<DirectMessage>;
   /** Calls of other parts, in order. */
-  readonly asked: string[];
+  readonly calls: string[];
 }
 
 export function fakeParts(config: ConfigPart): FakeParts {
@@ -111,5 +111,5 @@
       return Promise.resolve();
     },
   };
-  return { deps, direct, asked };
+  return { deps, direct, calls: asked };
 }
--- a/tests/support/config-daemons.ts
+++ b/tests/support/config-daemons.ts
@@ -24,7 +24,7 @@
 export interface ConfigWorld {
   readonly table: FakeTable;
   readonly hub: FakeHub;
-  daemon(id: string): ConfigDaemon;
+  addDaemon(id: string): ConfigDaemon;
   stop(): Promise<void>;
 }
 
@@ -64,7 +64,7 @@
   return {
     table,
     hub,
-    daemon,
+    addDaemon: daemon,
     stop: async () => {
       await Promise.all(started.map((config) => config.stop()));
     },
--- a/tests/support/control-engine.ts
+++ b/tests/support/control-engine.ts
@@ -101,7 +101,7 @@
 }
 
 /** Executes or refuses an order. */
-export function obey(
+export function executeOrder(
   engine: FakeEngine,
   order: PlannedOrder,
   by: OrderBy,
@@ -166,7 +166,7 @@
 }
 
 /** Advances to `now`: completes a fetch of weights, and lets rank 0 check the other members. */
-export function passTime(
+export function advanceEngine(
   engine: FakeEngine,
   all: ReadonlyMap<string, FakeEngine>,
   now: number,
--- a/tests/support/control-world.ts
+++ b/tests/support/control-world.ts
@@ -5,7 +5,7 @@
 
 import { createRandom } from '../../src/adapters/runtime';
 import { createControl } from '../../src/app/control/control';
-import type { ControlOverrides, DrivenControl } from '../../src/app/control/control';
+import type { ControlOverrides, ControlPlane } from '../../src/app/control/control';
 import type { Gossip, GossipEntry, PeerInfo } from '../../src/app/parts';
 import { EMPTY_CONFIG } from '../../src/core/config/types';
 import type { Config, ModelSpec } from '../../src/core/config/types';
@@ -24,7 +24,7 @@
 import { fail } from '../../src/utils/errors';
 import { createFakeTable } from './control-table';
 import type { FakeTable } from './control-table';
-import { createFakeEngine, obey, passTime, reportOf } from './control-engine';
+import { createFakeEngine, executeOrder, advanceEngine, reportOf } from './control-engine';
 import type { FakeEngine } from './control-engine';
 
 export const EPOCH_START = 1_700_000_000_000;
@@ -36,13 +36,13 @@
   readonly id: DaemonId;
   /** Rate of its monotonic clock relative to simulated time. */
   readonly rate: number;
-  readonly control: DrivenControl;
+  readonly control: ControlPlane;
   /** While false, the daemon is suspended or stopped: it doesn't tick. */
   running: boolean;
   /** Number of its next orders that reach the engines only at `flushLate`; their answers are lost. */
   lateOrders: number;
   /** Partitions it from the other daemons, the table or the engines. */
-  readonly cut: { gossip: boolean; table: boolean; engines: boolean };
+  readonly partitioned: { gossip: boolean; table: boolean; engines: boolean };
   readonly received: Subject<GossipEntry>;
 }
 
@@ -135,7 +135,7 @@
 
   const gossipOf = (self: () => FakeDaemon): Gossip => ({
     publish: (topic, key, value, expiresAt) => {
-      const { id, cut } = self();
+      const { id, partitioned: cut } = self();
       const known = entries.get(`${topic} ${key} ${id}`);
       const entry = {
         topic,
@@ -148,7 +148,8 @@
       entries.set(`${topic} ${key} ${id}`, entry);
       if (cut.gossip) return;
       for (const other of daemons) {
-        if (other.id !== id && other.running && !other.cut.gossip) other.received.next(entry);
+        if (other.id !== id && other.running && !other.partitioned.gossip)
+          other.received.next(entry);
       }
     },
     get received() {
@@ -162,7 +163,7 @@
 
   const engineOf = (self: () => FakeDaemon): Engine => {
     const find = (address: string) =>
-      self().cut.engines ? undefined : engines.get(address.replace(/:1$/, ''));
+      self().partitioned.engines ? undefined : engines.get(address.replace(/:1$/, ''));
     const unreachable = errAsync(
       fail('unavailable', 'the engine is unreachable', { step: 'engine' }),
     );
@@ -178,13 +179,18 @@
         if (self().lateOrders > 0) {
           self().lateOrders--;
           late.push(() =>
-            obey(engine, order, { fencing: by.fencing, loadedAt: now + loadMs }, now),
+            executeOrder(engine, order, { fencing: by.fencing, loadedAt: now + loadMs }, now),
           );
           return errAsync(
             fail('backend-lost', 'the answer was lost', { step: 'order', peer: address }),
           );
         }
-        const answer = obey(engine, order, { fencing: by.fencing, loadedAt: now + loadMs }, now);
+        const answer = executeOrder(
+          engine,
+          order,
+          { fencing: by.fencing, loadedAt: now + loadMs },
+          now,
+        );
         if (answer === 'done') return okAsync(reportOf(engine));
         return errAsync(fail('conflict', answer, { step: 'order', peer: address }));
       },
@@ -195,9 +201,10 @@
     const unreachable = () =>
       errAsync(fail('store-unavailable', 'the table is unreachable', { step: 'table' }));
     return {
-      read: (keys) => (self().cut.table ? unreachable() : table.read(keys)),
-      scan: (prefix, after) => (self().cut.table ? unreachable() : table.scan(prefix, after)),
-      commit: (tx) => (self().cut.table ? unreachable() : table.commit(tx)),
+      read: (keys) => (self().partitioned.table ? unreachable() : table.read(keys)),
+      scan: (prefix, after) =>
+        self().partitioned.table ? unreachable() : table.scan(prefix, after),
+      commit: (tx) => (self().partitioned.table ? unreachable() : table.commit(tx)),
     };
   };
 
@@ -230,7 +237,7 @@
       rate,
       running: true,
       lateOrders: 0,
-      cut: { gossip: false, table: false, engines: false },
+      partitioned: { gossip: false, table: false, engines: false },
       received: new Subject(),
     };
     daemons.push(daemon);
@@ -241,7 +248,7 @@
   const advance = async (ms: number): Promise<void> => {
     for (let passed = 0; passed < ms; passed += STEP_MS) {
       now += STEP_MS;
-      for (const engine of engines.values()) passTime(engine, engines, now);
+      for (const engine of engines.values()) advanceEngine(engine, engines, now);
       for (const daemon of daemons) {
         if (daemon.running) daemon.control.tick();
       }
--- a/tests/support/membership-daemons.ts
+++ b/tests/support/membership-daemons.ts
@@ -25,7 +25,7 @@
 export interface Fleet {
   readonly daemons: readonly TestDaemon[];
   /** Partitions a daemon from all others until `heal`. */
-  cut(id: string): void;
+  partition(id: string): void;
   heal(id: string): void;
   /** Stops traffic on a daemon's open links without closing them; new links work. */
   silence(id: string): void;
@@ -143,7 +143,7 @@
   await Promise.all(daemons.map(({ part }) => part.start()));
   return {
     daemons,
-    cut: (id) => {
+    partition: (id) => {
       links.cut.add(addressOf(id));
       links.breakLinks(addressOf(id));
     },
@@ -175,6 +175,6 @@
 }
 
 /** State of `id` in the view of `viewer`, or `gone`. */
-export function beliefOf(viewer: TestDaemon, id: string): string {
+export function stateIn(viewer: TestDaemon, id: string): string {
   return viewer.part.peers().find((peer) => peer.id === id)?.state ?? 'gone';
 }
