--- a/bench/groups-loads.ts
+++ b/bench/groups-loads.ts
@@ -33,24 +33,24 @@
   return [plan('bulk', 3, 1), plan('urgent', 1, URGENT_WORTH)];
 }
 
-function pass(loop: Loop, seconds: number): void {
+function advance(loop: Loop, seconds: number): void {
   for (let i = 0; i < seconds; i++) {
     look(loop);
     loop.now++;
   }
 }
 
-function play(loads: LoadPolicy, maxLoads: number): LoadsBenchRow {
+function simulate(loads: LoadPolicy, maxLoads: number): LoadsBenchRow {
   const [bulk, urgent] = plansOf(loads);
   const loop = createLoop({ instances: INSTANCES, models: [bulk], settings: { maxLoads } });
-  pass(loop, SETTLE_S);
+  advance(loop, SETTLE_S);
   // The urgent model is added last, so its group is last in arrival order.
   configure(loop, [bulk, urgent]);
-  pass(loop, SETTLE_S);
+  advance(loop, SETTLE_S);
   for (const engine of loop.engines.values()) restart(engine, loop.now);
   const downtime = { bulk: 0, urgent: 0 };
   for (let i = 0; i < LONGEST_S; i++) {
-    pass(loop, 1);
+    advance(loop, 1);
     for (const row of groupsOf(loop.state)) {
       if (!isServing(loop, row)) downtime[row.model === bulk.id ? 'bulk' : 'urgent']++;
     }
@@ -67,6 +67,6 @@
 /** Measures both orders, with loads limited to one group at a time and unlimited. */
 export function benchLoads(): readonly LoadsBenchRow[] {
   return (['arrival', 'value-first'] as const).flatMap((loads) =>
-    [MEMBERS, INSTANCES].map((maxLoads) => play(loads, maxLoads)),
+    [MEMBERS, INSTANCES].map((maxLoads) => simulate(loads, maxLoads)),
   );
 }
--- a/bench/groups-loop.ts
+++ b/bench/groups-loop.ts
@@ -180,7 +180,7 @@
   }
 }
 
-/** According to the engines' own state. */
+/** Whether every member serves the group, according to the engines' own state. */
 export function isServing(loop: Loop, row: GroupRow): boolean {
   if (row.phase === 'draining') return false;
   return row.members.every(({ instance }) => {
--- a/bench/groups.ts
+++ b/bench/groups.ts
@@ -76,7 +76,7 @@
   };
 }
 
-function play(setting: Setting, variant: Variant, seed: number, days: number): LoopResult {
+function simulate(setting: Setting, variant: Variant, seed: number, days: number): LoopResult {
   const { weights } = setting;
   const { policies, instances } = variant;
   const main = modelOf('main', {
@@ -130,7 +130,7 @@
   return SETTINGS.flatMap((setting) =>
     Object.entries(variantsOf(setting.weights)).map(([name, variant]) => {
       const results = Array.from({ length: seeds }, (_, seed) =>
-        play(setting, variant, seed + 1, days),
+        simulate(setting, variant, seed + 1, days),
       );
       return summarise(setting, name, results, days);
     }),
--- a/bench/membership-slopes.ts
+++ b/bench/membership-slopes.ts
@@ -93,7 +93,7 @@
   nowMs: number;
 }
 
-function take(holder: Holder, message: Message): void {
+function deliver(holder: Holder, message: Message): void {
   const from = brandAs<DaemonId>('daemon-1');
   const event = { kind: 'message', from, address: '10.0.0.1:7000', message } as const;
   holder.state = reduceMembership(holder.state, event, contextAt(holder.nowMs)).state;
@@ -114,7 +114,7 @@
     ...Array.from({ length: facts }, (_, i) => factAt(i)),
   ];
   for (let i = 0; i < entries.length; i += 100) {
-    take(holder, { kind: 'entries', entries: entries.slice(i, i + 100) });
+    deliver(holder, { kind: 'entries', entries: entries.slice(i, i + 100) });
   }
   holder.state = { ...holder.state, rumours: new Map() };
   return holder;
@@ -127,7 +127,7 @@
   holder.state = step.state;
   for (const effect of step.effects) {
     if (effect.kind !== 'send' || effect.message.kind !== 'probe') continue;
-    take(holder, { kind: 'ack', seq: effect.message.seq });
+    deliver(holder, { kind: 'ack', seq: effect.message.seq });
   }
 }
 
@@ -140,7 +140,7 @@
   });
   const digest: Message = { kind: 'digest', salt: 1, buckets: new Array<number>(64).fill(1) };
   const syncUs = usEach(STEPS, () => {
-    take(holder, digest);
+    deliver(holder, digest);
   });
   return [
     { role: 'peer', unit: 'tick by peers known', size, us, bytes },
@@ -156,7 +156,7 @@
     holder.nowMs += TICK_MS;
     const fact = factAt(i % size);
     const newer = { ...fact, version: fact.version + 1_000_000 + i };
-    take(holder, { kind: 'entries', entries: [newer] });
+    deliver(holder, { kind: 'entries', entries: [newer] });
   });
   return { role: 'peer', unit: 'entry taken and passed on, by entries held', size, us, bytes };
 }
--- a/bench/retry.ts
+++ b/bench/retry.ts
@@ -56,24 +56,24 @@
 
   const withdraw = (): boolean => {
     if (!hasBudget) return true;
-    const left = tryWithdraw(budget);
-    if (left !== undefined) budget = left;
-    return left !== undefined;
+    const remaining = tryWithdraw(budget);
+    if (remaining !== undefined) budget = remaining;
+    return remaining !== undefined;
   };
 
   const send = (group: number, ms: number): AttemptFailure | undefined => {
     if (isDarkAt(group, ms)) return 'lost';
-    const place = `${group}/${Math.floor(ms / 1_000)}`;
-    const before = taken.get(place) ?? 0;
-    taken.set(place, before + 1);
+    const groupSecond = `${group}/${Math.floor(ms / 1_000)}`;
+    const before = taken.get(groupSecond) ?? 0;
+    taken.set(groupSecond, before + 1);
     return before < GROUP_RATE ? undefined : 'refused';
   };
 
   const attempt = (pending: Pending, ms: number): void => {
-    const open = Array.from({ length: GROUPS }, (_, i) => i).filter(
+    const candidates = Array.from({ length: GROUPS }, (_, i) => i).filter(
       (group) => !pending.tried.has(group) && isOffered(group, ms),
     );
-    const group = open[Math.floor(random.next() * open.length)];
+    const group = candidates[Math.floor(random.next() * candidates.length)];
     if (group === undefined) return;
     counts.sent += 1;
     const isDark = ms >= DARK.from * 1_000 && ms < DARK.to * 1_000;
@@ -101,14 +101,14 @@
     queue.set(at, [...(queue.get(at) ?? []), again]);
   };
 
-  const perMs = (GROUPS * GROUP_RATE * load) / 1_000;
-  let owed = 0;
+  const arrivalsPerMs = (GROUPS * GROUP_RATE * load) / 1_000;
+  let pendingArrivals = 0;
   for (let ms = 0; ms < SECONDS * 1_000; ms += 1) {
     queue.get(ms)?.forEach((pending) => {
       attempt(pending, ms);
     });
     queue.delete(ms);
-    for (owed += perMs; owed >= 1; owed -= 1) {
+    for (pendingArrivals += arrivalsPerMs; pendingArrivals >= 1; pendingArrivals -= 1) {
       counts.accepted += 1;
       if (ms >= DARK.from * 1_000 && ms < DARK.to * 1_000) counts.darkAccepted += 1;
       budget = deposit(budget);
