--- a/tests/binary/binary.test.ts
+++ b/tests/binary/binary.test.ts
@@ -1,3 +1,5 @@
+/** Runs the built binary from a folder outside the project. */
+
 import { execFile, spawn } from 'node:child_process';
 import { once } from 'node:events';
 import { copyFile, mkdtemp, rm } from 'node:fs/promises';
@@ -10,7 +12,7 @@
 import { startPlatform } from '../../stand-ins/platform/platform';
 import { freePort, sha256 } from '../support/system';
 
-interface Ended {
+interface ExitResult {
   readonly code: number;
   readonly stdout: string;
   readonly stderr: string;
@@ -19,14 +21,14 @@
 let folder: string;
 
 beforeAll(async () => {
-  // Away from the project, so that no node_modules can be found.
+  // Outside the project, so that the binary can't resolve anything from its node_modules.
   folder = await mkdtemp(join(tmpdir(), 'nutmegstack-binary-'));
   await copyFile('dist/nutmegstack', join(folder, 'nutmegstack'));
 });
 
 afterAll(() => rm(folder, { recursive: true }));
 
-function nutmegstack(...args: string[]): Promise<Ended> {
+function nutmegstack(...args: string[]): Promise<ExitResult> {
   return new Promise((done) => {
     const opts = { cwd: folder, env: {} };
     execFile(join(folder, 'nutmegstack'), args, opts, (err, stdout, stderr) => {
@@ -36,16 +38,16 @@
   });
 }
 
-interface Ready {
+interface ReadyLine {
   readonly addresses: { readonly admin: string };
 }
 
-async function firstReady(stream: NodeJS.ReadableStream): Promise<Ready> {
+async function readReadyLine(stream: NodeJS.ReadableStream): Promise<ReadyLine> {
   for await (const line of createInterface({ input: stream })) {
-    const parsed = JSON.parse(line) as Partial<Ready> & { readonly ready?: boolean };
-    if (parsed.ready === true) return parsed as Ready;
+    const parsed = JSON.parse(line) as Partial<ReadyLine> & { readonly ready?: boolean };
+    if (parsed.ready === true) return parsed as ReadyLine;
   }
-  throw new Error('ended before it was ready');
+  throw new Error('the binary closed its output before it was ready');
 }
 
 describe('the binary', () => {
@@ -56,7 +58,7 @@
     expect(JSON.parse(stdout)).toMatchObject({ version: '0.1.0' });
   });
 
-  it.each(Object.keys(COMMANDS))('knows %s', async (name) => {
+  it.each(Object.keys(COMMANDS))('has the command %s', async (name) => {
     const { code, stdout } = await nutmegstack(name, '--help');
     expect(code).toBe(0);
     expect(stdout).toContain(`$ nutmegstack ${name}`);
@@ -70,7 +72,7 @@
     expect((await nutmegstack('check', resolve('package.json'))).code).toBe(1);
   });
 
-  it('serves, answers operators and stops when drained', async () => {
+  it('serves, answers the operator commands and stops once drained', async () => {
     const platform = await startPlatform();
     const peers = `127.0.0.1:${await freePort()}`;
     const child = spawn(
@@ -83,21 +85,21 @@
       { cwd: folder, env: { NUTMEGSTACK_PEER_SECRET: 'sixteen letters!' } },
     );
     const exited = once(child, 'exit');
-    const ready = await firstReady(child.stdout);
-    const asked = ['--admin', ready.addresses.admin, '--key', 'first'];
+    const ready = await readReadyLine(child.stdout);
+    const adminArgs = ['--admin', ready.addresses.admin, '--key', 'first'];
     const document = resolve('examples/armor.yaml');
-    expect(await nutmegstack('apply', document, ...asked)).toMatchObject({
+    expect(await nutmegstack('apply', document, ...adminArgs)).toMatchObject({
       code: 0,
       stdout: 'version 1 accepted\n',
     });
-    expect((await nutmegstack('diff', document, ...asked)).stdout).toBe('no differences\n');
-    expect((await nutmegstack('status', ...asked)).stdout).toMatch(/^e1 +z1 +alive +1$/m);
-    expect((await nutmegstack('drain', '--daemon', 'e1', ...asked)).code).toBe(0);
+    expect((await nutmegstack('diff', document, ...adminArgs)).stdout).toBe('no differences\n');
+    expect((await nutmegstack('status', ...adminArgs)).stdout).toMatch(/^e1 +z1 +alive +1$/m);
+    expect((await nutmegstack('drain', '--daemon', 'e1', ...adminArgs)).code).toBe(0);
     expect(await exited).toEqual([0, null]);
     await platform.close();
   });
 
-  it('reports every wrong setting and ends with 2', async () => {
+  it('reports every invalid setting and exits with status 2', async () => {
     const { code, stderr } = await nutmegstack('serve', '--listen', 'nowhere');
     expect(code).toBe(2);
     expect(stderr).toContain('--listen (NUTMEGSTACK_LISTEN)');
--- a/tests/client-library-callers.test.ts
+++ b/tests/client-library-callers.test.ts
@@ -1,3 +1,5 @@
+/** Tests slow readers and the limits of the HTTP server for callers. */
+
 import { connect } from 'node:net';
 import type { Socket } from 'node:net';
 import { once } from 'node:events';
@@ -14,9 +16,9 @@
 
 const MAX_CONNECTIONS = 30;
 const MAX_BODY_BYTES = 20_000;
-/** Far more than the buffers of two connections hold. */
+/** Far more tokens than the buffers of the two connections can hold. */
 const LONG_STREAM = 'tokens=150000';
-const FAR_MS = 600_000;
+const DEADLINE_MS = 600_000;
 
 let system: System;
 let daemon: DaemonProcess;
@@ -30,21 +32,26 @@
     ],
   });
   const [first] = system.daemons;
-  if (first === undefined) throw new Error('no daemon');
+  if (first === undefined) throw new Error('the system started without a daemon');
   daemon = first;
   await submit(daemon, documentFor(system));
   await untilServing(system);
-  await callJson({ address: rank0(), method: 'POST', path: '/faults', body: { tokenMs: 0 } });
+  await callJson({
+    address: rank0Address(),
+    method: 'POST',
+    path: '/faults',
+    body: { tokenMs: 0 },
+  });
 });
 
 afterAll(() => system.stop());
 
-function rank0(): string {
+function rank0Address(): string {
   return system.engines[0]?.members[0]?.address ?? '';
 }
 
-async function endedRuns(): Promise<number> {
-  const { body } = await callJson({ address: rank0(), method: 'GET', path: '/record' });
+async function countEndedRuns(): Promise<number> {
+  const { body } = await callJson({ address: rank0Address(), method: 'GET', path: '/record' });
   return (body as MemberRecord).runs.filter(({ end }) => end !== undefined).length;
 }
 
@@ -56,17 +63,17 @@
   });
 }
 
-async function codeOf(res: Response): Promise<[number, string | undefined]> {
+async function statusAndCode(res: Response): Promise<[number, string | undefined]> {
   const { error } = (await res.json()) as { error?: { code?: string } };
   return [res.status, error?.code];
 }
 
-/** Starts a long stream whose answer is left unread until asked for. */
+/** Starts a long stream and leaves its response unread. */
 function startLongStream(): Promise<IncomingMessage> {
   const { host, port } = parseAddress(daemon.callers);
   const headers = {
     authorization: `Bearer ${CALLER_KEY}`,
-    'nutmegstack-deadline': String(Date.now() + FAR_MS),
+    'nutmegstack-deadline': String(Date.now() + DEADLINE_MS),
   };
   const messages = [{ role: 'user', content: LONG_STREAM }];
   return new Promise((resolve, reject) => {
@@ -77,7 +84,7 @@
   });
 }
 
-/** Reads an answer to its end: its length, and whether it ended as a stream does. */
+/** Reads a response to its end: its length, and whether it ends with the end mark of a stream. */
 async function readAll(res: IncomingMessage): Promise<{ bytes: number; whole: boolean }> {
   let bytes = 0;
   let tail = '';
@@ -88,15 +95,15 @@
   return { bytes, whole: tail.endsWith('data: [DONE]\n\n') };
 }
 
-describe('a caller who reads slowly', () => {
-  it('holds back its own stream alone, and gets all of it in the end', async () => {
-    const before = await endedRuns();
+describe('a caller that reads slowly', () => {
+  it('delays only its own stream and gets all of it', async () => {
+    const before = await countEndedRuns();
     const slow = await startLongStream();
     const fast = await readAll(await startLongStream());
     expect(fast.whole).toBe(true);
     for (let i = 0; i < 20; i += 1) expect((await chat(daemon, {})).status).toBe(200);
-    // The engine could not end the slow stream: no one on the way has taken all of it in.
-    expect((await endedRuns()) - before).toBe(21);
+    // The slow stream hasn't ended at the engine: nothing on the path has buffered all of it.
+    expect((await countEndedRuns()) - before).toBe(21);
     expect(await readAll(slow)).toEqual(fast);
   });
 });
@@ -105,7 +112,7 @@
   it('refuse a body that is too large with 413', async () => {
     const messages = [{ role: 'user', content: 'x'.repeat(MAX_BODY_BYTES) }];
     const res = await post(JSON.stringify({ model: 'query', messages }));
-    expect(await codeOf(res)).toEqual([413, 'body-too-large']);
+    expect(await statusAndCode(res)).toEqual([413, 'body-too-large']);
     expect(res.headers.get('nutmegstack-outcome')).toBe('not-run');
   });
 
@@ -116,26 +123,29 @@
   });
 
   it('refuse malformed JSON with 400', async () => {
-    expect((await codeOf(await post('{"model":')))[0]).toBe(400);
+    expect((await statusAndCode(await post('{"model":')))[0]).toBe(400);
   });
 
-  it('close connections beyond the most that may be open', async () => {
+  it('close connections beyond the maximum', async () => {
     const { host, port } = parseAddress(daemon.callers);
     const sockets: Socket[] = [];
-    let closed = 0;
+    let closedCount = 0;
     for (let i = 0; i < MAX_CONNECTIONS + 10; i += 1) {
       const socket = connect(port, host);
       socket.on('error', () => undefined);
-      socket.on('close', () => (closed += 1));
+      socket.on('close', () => (closedCount += 1));
       sockets.push(socket);
       await once(socket, 'connect');
     }
-    await until(() => Promise.resolve(closed >= 10 ? true : undefined), 'ten are closed');
+    await until(
+      () => Promise.resolve(closedCount >= 10 ? true : undefined),
+      'ten connections to be closed',
+    );
     for (const socket of sockets) socket.destroy();
-    const served = async () => {
+    const isServed = async () => {
       const res = await chat(daemon, {}).catch(() => undefined);
       return res?.status === 200 ? true : undefined;
     };
-    expect(await until(served, 'callers are served again')).toBe(true);
+    expect(await until(isServed, 'callers to be served again')).toBe(true);
   });
 });
--- a/tests/client-library.test.ts
+++ b/tests/client-library.test.ts
@@ -1,3 +1,5 @@
+/** Runs the OpenAI client library against a daemon. */
+
 import OpenAI, {
   AuthenticationError,
   BadRequestError,
@@ -32,8 +34,8 @@
   return new OpenAI({ apiKey, baseURL, maxRetries: 0 });
 }
 
-async function errorOf(work: Promise<unknown>): Promise<unknown> {
-  return work.then(
+async function rejectionOf(promise: Promise<unknown>): Promise<unknown> {
+  return promise.then(
     () => undefined,
     (err: unknown) => err,
   );
@@ -44,27 +46,27 @@
   return callJson({ address, method: 'POST', path: '/faults', body: faults });
 }
 
-async function runs(): Promise<MemberRecord['runs']> {
+async function readRuns(): Promise<MemberRecord['runs']> {
   const address = system.engines[0]?.members[0]?.address ?? '';
   const { body } = await callJson({ address, method: 'GET', path: '/record' });
   return (body as MemberRecord).runs;
 }
 
-describe('a client library', () => {
+describe('the OpenAI client library', () => {
   it('lists the models', async () => {
     const ids: string[] = [];
     for await (const { id } of client().models.list()) ids.push(id);
     expect(ids).toEqual(['query']);
   });
 
-  it('gets a whole answer', async () => {
+  it('gets a complete answer', async () => {
     const { choices, usage } = await client().chat.completions.create(CHAT);
     expect(choices[0]?.message.content).toBe(answerText(CHAT));
     expect(choices[0]?.finish_reason).toBe('stop');
     expect(usage?.completion_tokens).toBe(answerOf(CHAT).tokens.length);
   });
 
-  it('gets a stream with its usage', async () => {
+  it('streams an answer with its token usage', async () => {
     const stream = await client().chat.completions.create({
       ...CHAT,
       stream: true,
@@ -80,36 +82,36 @@
     expect(tokens).toBe(answerOf(CHAT).tokens.length);
   });
 
-  it('gets completions of a plain prompt', async () => {
+  it('completes a plain prompt', async () => {
     const body = { model: 'query', prompt: 'shelves of Lorient' };
     const { choices } = await client().completions.create(body);
     expect(choices[0]?.text).toBe(answerText(body));
   });
 
-  it('tells errors apart by its own classes', async () => {
+  it('maps each error to its own error class', async () => {
     const { completions } = client().chat;
-    const wrongKey = client('nobody').chat.completions.create(CHAT);
-    expect(await errorOf(wrongKey)).toBeInstanceOf(AuthenticationError);
+    const unauthorized = client('nobody').chat.completions.create(CHAT);
+    expect(await rejectionOf(unauthorized)).toBeInstanceOf(AuthenticationError);
     const unknown = completions.create({ ...CHAT, model: 'unknown' });
-    expect(await errorOf(unknown)).toMatchObject({ status: 404, code: 'model-not-found' });
-    expect(await errorOf(completions.create({ ...CHAT, model: 'unknown' }))).toBeInstanceOf(
+    expect(await rejectionOf(unknown)).toMatchObject({ status: 404, code: 'model-not-found' });
+    expect(await rejectionOf(completions.create({ ...CHAT, model: 'unknown' }))).toBeInstanceOf(
       NotFoundError,
     );
     const malformed = completions.create({ model: 'query' } as never);
-    expect(await errorOf(malformed)).toBeInstanceOf(BadRequestError);
+    expect(await rejectionOf(malformed)).toBeInstanceOf(BadRequestError);
   });
 
-  it('is told when a stream breaks off', async () => {
+  it('throws when a stream is interrupted', async () => {
     await setFaults({ truncate: 10, resumable: false });
     const stream = await client().chat.completions.create({ ...CHAT, stream: true });
-    const read = async (): Promise<void> => {
+    const readStream = async (): Promise<void> => {
       for await (const part of stream) expect(part.object).toBe('chat.completion.chunk');
     };
-    expect(await errorOf(read())).toBeInstanceOf(Error);
+    expect(await rejectionOf(readStream())).toBeInstanceOf(Error);
     await setFaults({ truncate: 0, resumable: true });
   });
 
-  it('cancels its request down to the engine', async () => {
+  it('cancels an aborted request through to the engine', async () => {
     await setFaults({ tokenMs: 20 });
     const stream = await client().chat.completions.create({
       model: 'query',
@@ -120,24 +122,24 @@
       expect(part.choices).toHaveLength(1);
       stream.controller.abort();
     }
-    const cancelled = async () => (await runs()).at(-1)?.end;
-    expect(await until(cancelled, 'the engine cancels the stream')).toBeGreaterThan(0);
+    const cancelledAt = async () => (await readRuns()).at(-1)?.end;
+    expect(await until(cancelledAt, 'the engine to cancel the stream')).toBeGreaterThan(0);
     await setFaults({ tokenMs: 2 });
   });
 
-  it('sees a refusal as an error of the server, with when to come back', async () => {
+  it('maps a refusal to a server error with Retry-After', async () => {
     await Promise.all(
       (system.engines[0]?.members ?? []).map(({ address }) =>
         callJson({ address, method: 'POST', path: '/faults', body: { down: true } }),
       ),
     );
-    // Until the group is given up, what was sent to it may have run.
-    const refusal = async () => {
-      const err = await errorOf(client().chat.completions.create(CHAT));
-      const refused = err instanceof InternalServerError;
-      return refused && err.headers.get('nutmegstack-outcome') === 'not-run' ? err : undefined;
+    // Until the group is dissolved, a request sent to it may have run, and its outcome isn't `not-run`.
+    const refusedRequest = async () => {
+      const err = await rejectionOf(client().chat.completions.create(CHAT));
+      const isRefusal = err instanceof InternalServerError;
+      return isRefusal && err.headers.get('nutmegstack-outcome') === 'not-run' ? err : undefined;
     };
-    const err = await until(refusal, 'the group is given up');
+    const err = await until(refusedRequest, 'the group to be dissolved');
     expect(Number(err.headers.get('retry-after'))).toBeGreaterThan(0);
   });
 });
--- a/tests/control-stand-ins.test.ts
+++ b/tests/control-stand-ins.test.ts
@@ -1,3 +1,5 @@
+/** Runs the control plane against stand-ins of the platform and the engine over sockets. */
+
 import { BehaviorSubject, NEVER } from 'rxjs';
 import { afterEach, describe, expect, it } from 'vitest';
 
@@ -20,7 +22,7 @@
 
 const MEMBERS = 4;
 
-interface Running {
+interface Fixture {
   readonly platform: Platform;
   readonly engine: EngineStandIn;
   readonly controls: Map<string, DrivenControl>;
@@ -29,24 +31,24 @@
   addDaemon(id: string): Promise<DrivenControl>;
 }
 
-let closing: (() => Promise<unknown>)[] = [];
+let cleanups: (() => Promise<unknown>)[] = [];
 
 afterEach(async () => {
-  for (const close of closing.reverse()) await close();
-  closing = [];
+  for (const close of cleanups.reverse()) await close();
+  cleanups = [];
 });
 
-const logger = { debug: nothing, info: nothing, warn: nothing, error: nothing };
+const logger = { debug: noop, info: noop, warn: noop, error: noop };
 
-function nothing(): void {
+function noop(): void {
   return undefined;
 }
 
-async function start(instances: number, checksFencing: boolean): Promise<Running> {
+async function startFixture(instances: number, checksFencing: boolean): Promise<Fixture> {
   const platform = await startPlatform();
   const address = platform.address;
   const engine = await startEngine({ platform: address, members: instances, checksFencing });
-  closing.push(
+  cleanups.push(
     () => platform.close(),
     () => engine.close(),
   );
@@ -56,12 +58,12 @@
 
   const addDaemon = async (id: string): Promise<DrivenControl> => {
     const { self, gossip, peers } = hub.join(id, () => 1 as ConfigVersion);
-    const port = createEngine({ timeoutMs: 300 });
+    const enginePort = createEngine({ timeoutMs: 300 });
     const control = createControl({
       self,
       table: createTable({ address }),
       instances: createInstanceList({ address }),
-      engine: port,
+      engine: enginePort,
       config: { current: () => config.value, changes: config },
       membership: { self, peers, changes: NEVER },
       gossip,
@@ -79,9 +81,9 @@
         domain: { unresponsiveMs: 500, confirmMs: 700, orderRetryMs: 100, restartDelayMs: 100 },
       },
     });
-    closing.push(async () => {
+    cleanups.push(async () => {
       await control.stop();
-      port.close();
+      enginePort.close();
     });
     controls.set(id, control);
     await control.start();
@@ -90,49 +92,50 @@
   return { platform, engine, controls, hub, config, addDaemon };
 }
 
-function groupsOn(control: DrivenControl) {
+function routableGroups(control: DrivenControl) {
   return control.routable('m' as never);
 }
 
-async function serving(running: Running, epoch: number): Promise<void> {
-  for (const control of running.controls.values()) {
+async function untilEpochServes(fixture: Fixture, epoch: number): Promise<void> {
+  for (const control of fixture.controls.values()) {
     await until(
-      () => Promise.resolve(groupsOn(control).some((one) => one.epoch >= epoch) || undefined),
-      `a group at epoch ${epoch}`,
+      () =>
+        Promise.resolve(routableGroups(control).some((group) => group.epoch >= epoch) || undefined),
+      `a group at epoch ${epoch} or later`,
     );
   }
 }
 
-function holderOf({ controls }: Running): [string, DrivenControl] | undefined {
+function holderOf({ controls }: Fixture): [string, DrivenControl] | undefined {
   return [...controls].find(([, control]) => control.heldDomains().length > 0);
 }
 
-function memberOf({ engine }: Running, rank: number): EngineMember {
+function memberOf({ engine }: Fixture, rank: number): EngineMember {
   const found = engine.members.find((member) => member.state().holding?.rank === rank);
-  if (!found) throw new Error(`no member of rank ${rank}`);
+  if (!found) throw new Error(`no engine member has rank ${rank}`);
   return found;
 }
 
 describe.each([true, false])('over sockets, engines that check fencing: %s', (checksFencing) => {
-  it('a group forms though answers of the table and of the engines are lost', async () => {
-    const running = await start(MEMBERS, checksFencing);
-    running.platform.faults.table.lostAnswers = 2;
-    for (const { faults } of running.engine.members) faults.loseOrderAnswers = 1;
-    await running.addDaemon('a');
-    await running.addDaemon('b');
-    await serving(running, 1);
+  it('forms a group although answers of the table and of the engines are lost', async () => {
+    const fixture = await startFixture(MEMBERS, checksFencing);
+    fixture.platform.faults.table.lostAnswers = 2;
+    for (const { faults } of fixture.engine.members) faults.loseOrderAnswers = 1;
+    await fixture.addDaemon('a');
+    await fixture.addDaemon('b');
+    await untilEpochServes(fixture, 1);
   });
 
-  it('a member that freezes is replaced, and released once it goes on', async () => {
-    const running = await start(MEMBERS + 1, checksFencing);
-    await running.addDaemon('a');
-    await running.addDaemon('b');
-    await serving(running, 1);
-    const frozen = memberOf(running, 2);
+  it('replaces a frozen member and releases it once it resumes', async () => {
+    const fixture = await startFixture(MEMBERS + 1, checksFencing);
+    await fixture.addDaemon('a');
+    await fixture.addDaemon('b');
+    await untilEpochServes(fixture, 1);
+    const frozen = memberOf(fixture, 2);
     frozen.faults.frozen = true;
-    await serving(running, 2);
-    for (const control of running.controls.values()) {
-      const members = groupsOn(control).flatMap((group) => group.members);
+    await untilEpochServes(fixture, 2);
+    for (const control of fixture.controls.values()) {
+      const members = routableGroups(control).flatMap((group) => group.members);
       expect(members.map((member) => member.instance)).not.toContain(frozen.instance);
     }
     frozen.faults.frozen = false;
@@ -140,29 +143,33 @@
     await until(isFree, 'the frozen member to be released');
   });
 
-  it('a member that crashes joins again with the next epoch', async () => {
-    const running = await start(MEMBERS, checksFencing);
-    await running.addDaemon('a');
-    await serving(running, 1);
-    const { address } = memberOf(running, 1);
+  it('lets a crashed member rejoin with the next epoch', async () => {
+    const fixture = await startFixture(MEMBERS, checksFencing);
+    await fixture.addDaemon('a');
+    await untilEpochServes(fixture, 1);
+    const { address } = memberOf(fixture, 1);
     const body = JSON.stringify({ crash: true });
     await fetch(`http://${address}/faults`, { method: 'POST', body });
-    await serving(running, 2);
+    await untilEpochServes(fixture, 2);
   });
 
-  it('the next daemon takes over at once from one that stops, and nothing is ordered', async () => {
-    const running = await start(MEMBERS, checksFencing);
-    await running.addDaemon('a');
-    await running.addDaemon('b');
-    await serving(running, 1);
-    const [id, holder] = holderOf(running) ?? [];
-    if (id === undefined || !holder) throw new Error('no holder');
-    const orders = running.engine.members.map((member) => member.record.orders.length);
-    running.controls.delete(id);
-    running.hub.cut.add(id);
+  it('hands leases over at once when a daemon stops, without new orders', async () => {
+    const fixture = await startFixture(MEMBERS, checksFencing);
+    await fixture.addDaemon('a');
+    await fixture.addDaemon('b');
+    await untilEpochServes(fixture, 1);
+    const [id, holder] = holderOf(fixture) ?? [];
+    if (id === undefined || !holder) throw new Error('no daemon holds a lease');
+    const orders = fixture.engine.members.map((member) => member.record.orders.length);
+    fixture.controls.delete(id);
+    fixture.hub.cut.add(id);
     await holder.stop();
-    await until(() => Promise.resolve(holderOf(running)), 'the next holder', 1_500);
-    await serving(running, 1);
-    expect(running.engine.members.map((member) => member.record.orders.length)).toEqual(orders);
+    await until(
+      () => Promise.resolve(holderOf(fixture)),
+      'another daemon to hold the lease',
+      1_500,
+    );
+    await untilEpochServes(fixture, 1);
+    expect(fixture.engine.members.map((member) => member.record.orders.length)).toEqual(orders);
   });
 });
--- a/tests/demo.test.ts
+++ b/tests/demo.test.ts
@@ -1,3 +1,5 @@
+/** Runs the built demo as a process and checks its output, its curl command and its shutdown. */
+
 import { spawn } from 'node:child_process';
 import type { ChildProcess } from 'node:child_process';
 import { once } from 'node:events';
@@ -9,9 +11,9 @@
 const lines: Line[] = [];
 let demo: ChildProcess;
 let exited: Promise<unknown[]>;
-let errors = '';
+let stderrText = '';
 
-function ofKind(kind: string): Line[] {
+function linesOfKind(kind: string): Line[] {
   return lines.filter((line) => line.kind === kind);
 }
 
@@ -19,11 +21,11 @@
   demo = spawn(process.execPath, ['dist/demo.cjs', '--deployment', 'umurage', '--daemons', '4']);
   exited = once(demo, 'exit');
   demo.stderr?.on('data', (part: Buffer) => {
-    errors += part.toString('utf8');
+    stderrText += part.toString('utf8');
   });
   await new Promise<void>((resolve, reject) => {
     void exited.then(() => {
-      reject(new Error(`the demo ended before it served: ${errors}`));
+      reject(new Error(`the demo exited before it served requests: ${stderrText}`));
     });
     createInterface({ input: demo.stdout ?? process.stdin }).on('line', (text) => {
       const line = JSON.parse(text) as Line;
@@ -39,15 +41,15 @@
 
 describe('the demo', () => {
   it('prints every address and a key for each organisation', () => {
-    expect(ofKind('platform')).toHaveLength(1);
-    expect(ofKind('engine')).toHaveLength(3);
-    expect(ofKind('service')).toHaveLength(3);
-    expect(new Set(ofKind('daemon').map(({ zone }) => zone)).size).toBe(3);
-    expect(new Set(ofKind('key').map(({ organisation }) => organisation)).size).toBe(10);
+    expect(linesOfKind('platform')).toHaveLength(1);
+    expect(linesOfKind('engine')).toHaveLength(3);
+    expect(linesOfKind('service')).toHaveLength(3);
+    expect(new Set(linesOfKind('daemon').map(({ zone }) => zone)).size).toBe(3);
+    expect(new Set(linesOfKind('key').map(({ organisation }) => organisation)).size).toBe(10);
   });
 
-  it('prints a curl command that is answered whole', async () => {
-    const { command } = ofKind('curl')[0] as { command: string };
+  it('prints a curl command that gets a complete answer', async () => {
+    const { command } = linesOfKind('curl')[0] as { command: string };
     const curl = spawn('sh', ['-c', `${command} --silent`]);
     let text = '';
     curl.stdout.on('data', (part: Buffer) => {
@@ -60,7 +62,7 @@
   it('stops everything on Ctrl-C', async () => {
     demo.kill('SIGINT');
     expect(await exited).toEqual([0, null]);
-    const address = String(ofKind('daemon')[0]?.callers);
+    const address = String(linesOfKind('daemon')[0]?.callers);
     await expect(fetch(`http://${address}/healthz`)).rejects.toThrow();
     expect(lines.at(-1)).toEqual({ kind: 'stopped' });
   });
--- a/tests/support/era-table.ts
+++ b/tests/support/era-table.ts
@@ -1,4 +1,4 @@
-/** An in-memory store of rows that comes back from older copies; commits of a client can be held on their way. */
+/** An in-memory store that can be restored from older copies; commits of a client can be held in transit. */
 
 import type { ResultAsync } from 'neverthrow';
 import { errAsync, okAsync } from 'neverthrow';
@@ -10,22 +10,28 @@
 import { fail } from '../../src/utils/errors';
 import type { StepError } from '../../src/utils/errors';
 
+/** A client of the store whose commits can be held. */
 export interface EraClient {
   readonly table: EraTable;
-  /** Keeps commits on their way; their sender hears that nobody knows what became of them. */
+  /** Holds further commits in transit; their sender gets `store-unknown`. */
   hold(): void;
-  /** Commits that were kept take effect where their conditions hold now; the others stay on their way. */
+  /** Applies the held commits whose conditions hold now; the others stay in transit. */
   deliver(): void;
 }
 
+/** Rows shared by all clients. */
 export interface EraStore {
-  /** A way to the rows; `noteEra` is told the era of each answer before the answer. */
+  /** Creates a client of the store; `noteEra` receives the era of each answer before the answer. */
   client(noteEra: (era: StoreEra) => void): EraClient;
-  /** Comes back with the rows that it has now: versions go on from here, those given out since a copy go back. */
+  /**
+   * Copies the rows and the version counter and returns a function that restores them in a new era. Versions
+   * assigned since the copy are assigned again.
+   */
   copy(): () => void;
   rows(): readonly Row[];
 }
 
+/** Creates an empty store in the first era. */
 export function createEraStore(): EraStore {
   let rows: ReadonlyMap<string, Row> = new Map();
   let counter = 0;
@@ -35,42 +41,44 @@
     const holds = conditions.every(({ key, version }) => (rows.get(key)?.version ?? 0) === version);
     if (!holds) return undefined;
     counter += 1;
-    const after = new Map(rows);
+    const nextRows = new Map(rows);
     for (const { key, value } of writes) {
-      if (value === undefined) after.delete(key);
-      else after.set(key, { key, version: counter, value });
+      if (value === undefined) nextRows.delete(key);
+      else nextRows.set(key, { key, version: counter, value });
     }
-    rows = after;
+    rows = nextRows;
     return { versions: Object.fromEntries(writes.map(({ key }) => [key, counter])) };
   };
 
   const client = (noteEra: (era: StoreEra) => void): EraClient => {
-    const onTheWay: Transaction[] = [];
+    const inTransit: Transaction[] = [];
     let isHolding = false;
     return {
       table: {
         read: (prefix) => {
           noteEra(era);
-          const read = [...rows.values()].filter(({ key }) => key.startsWith(prefix));
-          return okAsync({ era, rows: read });
+          const found = [...rows.values()].filter(({ key }) => key.startsWith(prefix));
+          return okAsync({ era, rows: found });
         },
         commit: (tx): ResultAsync<Committed, StepError> => {
           if (isHolding) {
-            onTheWay.push(tx);
-            return errAsync(fail('store-unknown', 'no answer', { step: 'commit' }));
+            inTransit.push(tx);
+            return errAsync(fail('store-unknown', 'no answer to the commit', { step: 'commit' }));
           }
           noteEra(era);
           const committed = apply(tx);
           return committed
             ? okAsync(committed)
-            : errAsync(fail('conflict', 'rows have changed', { step: 'commit' }));
+            : errAsync(
+                fail('conflict', 'a condition of the commit does not hold', { step: 'commit' }),
+              );
         },
       },
       hold: () => {
         isHolding = true;
       },
       deliver: () => {
-        for (const tx of onTheWay.splice(0)) if (!apply(tx)) onTheWay.push(tx);
+        for (const tx of inTransit.splice(0)) if (!apply(tx)) inTransit.push(tx);
       },
     };
   };
@@ -78,10 +86,10 @@
   return {
     client,
     copy: () => {
-      const [copied, at] = [rows, counter];
+      const [copied, copiedCounter] = [rows, counter];
       return () => {
         rows = copied;
-        counter = at;
+        counter = copiedCounter;
         era = (era + 1) as StoreEra;
       };
     },
--- a/tests/support/fake-table.ts
+++ b/tests/support/fake-table.ts
@@ -1,4 +1,4 @@
-/** An in-memory table service with fault switches, for tests of what stands before the table. */
+/** An in-memory table service with fault switches, for tests of the table's clients. */
 
 import { ResultAsync, err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
@@ -7,43 +7,46 @@
 import { fail } from '../../src/utils/errors';
 import type { StepError } from '../../src/utils/errors';
 
-/** Switches of one client's way to the table; each may be set at any time. */
+/** Faults between one client and the table; each may be set at any time. */
 export interface TableFaults {
-  /** Refuses everything: nothing was done. */
+  /** Fails every call before it takes effect. */
   down: boolean;
-  /** The next n commits take effect and their answer is lost. */
+  /** The next n commits take effect, but their answers are lost. */
   lostAnswers: number;
-  /** The next n commits are lost before they take effect, and so is the answer. */
+  /** The next n commits are lost before they take effect. */
   lostRequests: number;
-  /** The next n lost requests take effect only when `settle` is called. */
+  /** The next n commits get no answer and take effect only when `settle` is called. */
   lateRequests: number;
   /** Delay of each call, milliseconds. */
   slowMs: number;
 }
 
+/** A client's table and its fault switches. */
 export interface TableClient {
   readonly table: Table;
   readonly faults: TableFaults;
 }
 
+/** The rows, with counts of the calls that reached them. */
 export interface FakeTable {
-  /** A way to the shared rows with fault switches of its own. */
+  /** Creates a client of the shared rows with its own fault switches. */
   client(): TableClient;
-  /** Lets late requests of all clients arrive. */
+  /** Applies the late requests of all clients. */
   settle(): void;
   readonly rows: Map<string, Row>;
   readonly counts: { reads: number; commits: number };
 }
 
-const PAGE = 1000;
+const PAGE_SIZE = 1000;
 
-function conflictIn(rows: Map<string, Row>, transaction: Transaction): string | undefined {
-  const lost = transaction.conditions.find(
+function findConflict(rows: Map<string, Row>, transaction: Transaction): string | undefined {
+  const failed = transaction.conditions.find(
     ({ key, version }) => (rows.get(key)?.version ?? 0) !== version,
   );
-  return lost?.key;
+  return failed?.key;
 }
 
+/** Creates an empty table. */
 export function createFakeTable(): FakeTable {
   const rows = new Map<string, Row>();
   const counts = { reads: 0, commits: 0 };
@@ -51,7 +54,7 @@
   let counter = 0;
 
   function apply(transaction: Transaction): Result<Committed, StepError> {
-    const conflict = conflictIn(rows, transaction);
+    const conflict = findConflict(rows, transaction);
     if (conflict !== undefined) return err(fail('conflict', conflict, { step: 'commit' }));
     counter += 1;
     const versions: Record<string, number> = {};
@@ -68,13 +71,18 @@
     const found = [...rows.values()]
       .filter(({ key }) => key.startsWith(prefix) && (after === undefined || key > after))
       .sort((a, b) => (a.key < b.key ? -1 : 1));
-    const page = found.slice(0, PAGE);
+    const page = found.slice(0, PAGE_SIZE);
     const last = page.at(-1)?.key;
-    return found.length > PAGE && last !== undefined ? { rows: page, after: last } : { rows: page };
+    return found.length > PAGE_SIZE && last !== undefined
+      ? { rows: page, after: last }
+      : { rows: page };
   }
 
-  function commitWith(faults: TableFaults, transaction: Transaction): Result<Committed, StepError> {
-    const unknown = fail('store-unknown', 'answer lost', { step: 'commit' });
+  function commitWithFaults(
+    faults: TableFaults,
+    transaction: Transaction,
+  ): Result<Committed, StepError> {
+    const unknown = fail('store-unknown', 'the answer to the commit was lost', { step: 'commit' });
     if (faults.lostRequests > 0) {
       faults.lostRequests -= 1;
       return err(unknown);
@@ -85,8 +93,8 @@
       return err(unknown);
     }
     counts.commits += 1;
-    const done = apply(transaction);
-    if (faults.lostAnswers === 0) return done;
+    const result = apply(transaction);
+    if (faults.lostAnswers === 0) return result;
     faults.lostAnswers -= 1;
     return err(unknown);
   }
@@ -102,7 +110,7 @@
     function call<T>(step: string, run: () => Result<T, StepError>): ResultAsync<T, StepError> {
       const delayed = async (): Promise<Result<T, StepError>> => {
         if (faults.slowMs > 0) await new Promise((done) => setTimeout(done, faults.slowMs));
-        if (faults.down) return err(fail('store-unavailable', 'table is down', { step }));
+        if (faults.down) return err(fail('store-unavailable', 'the table is down', { step }));
         return run();
       };
       return new ResultAsync(delayed());
@@ -118,7 +126,7 @@
           counts.reads += 1;
           return ok(scanRows(prefix, after));
         }),
-      commit: (transaction) => call('commit', () => commitWith(faults, transaction)),
+      commit: (transaction) => call('commit', () => commitWithFaults(faults, transaction)),
     };
     return { table, faults };
   }
--- a/tests/support/gateway-daemon.ts
+++ b/tests/support/gateway-daemon.ts
@@ -1,4 +1,4 @@
-/** Gateway daemons as processes of their own, and a caller of theirs. */
+/** Starts gateway daemons as processes and sends requests to them. */
 
 import { spawn } from 'node:child_process';
 import type { ChildProcess } from 'node:child_process';
@@ -10,9 +10,10 @@
 import { HEADERS } from '../../platform/names';
 import { endWithTest } from './reaper';
 
+/** Settings of one daemon, and where its settings file is written. */
 export interface DaemonOptions {
   readonly id: string;
-  /** Where the settings file goes. */
+  /** Folder of the settings file. */
   readonly dir: string;
   readonly listen: string;
   readonly readyListen: string;
@@ -20,11 +21,11 @@
   readonly seeds: readonly string[];
   /** Address of the store. */
   readonly platform: string;
-  /** Further settings. */
+  /** Further settings; they override the others. */
   readonly more?: object;
 }
 
-/** What the daemons of the tests have in common. */
+/** Settings shared by the daemons of the tests. */
 export const COMMON_SETTINGS = {
   zone: 'zone-a',
   cpuCores: 1,
@@ -40,21 +41,21 @@
   loadWindowS: 5,
 };
 
-/** Writes the settings file of a daemon and gives its path. */
+/** Writes the settings file of a daemon and returns its path. */
 export function writeSettings({ dir, more, ...options }: DaemonOptions): string {
   const path = join(dir, `${options.id}.json`);
   writeFileSync(path, JSON.stringify({ ...COMMON_SETTINGS, ...options, ...more }));
   return path;
 }
 
-const PROGRAM = 'dist/gateway.cjs';
+const GATEWAY_PATH = 'dist/gateway.cjs';
 
-/** `stdout`: a file descriptor for the daemon's log, or `ignore`. */
+/** Starts a daemon; `stdout` is a file descriptor for its log, or `ignore`. */
 export function launchDaemon(
   options: DaemonOptions,
   stdout: 'ignore' | number = 'ignore',
 ): ChildProcess {
-  const child = spawn(process.execPath, [PROGRAM], {
+  const child = spawn(process.execPath, [GATEWAY_PATH], {
     env: {
       PATH: process.env.PATH,
       NUTMEGSTACK_CONFIG: writeSettings(options),
@@ -62,17 +63,19 @@
     },
     stdio: ['ignore', stdout, typeof stdout === 'number' ? stdout : 'inherit'],
   });
-  return endWithTest(child, PROGRAM);
+  return endWithTest(child, GATEWAY_PATH);
 }
 
+/** A response, complete or not. */
 export interface Reply {
   readonly status: number;
   readonly headers: IncomingHttpHeaders;
   readonly text: string;
-  /** Whether the answer came to its proper end. */
+  /** Whether the response was received completely. */
   readonly isWhole: boolean;
 }
 
+/** Headers and body of a request; `waitMs` is the longest wait sent with it. */
 export interface CallOptions {
   readonly requestId: string;
   readonly key: string;
@@ -83,7 +86,7 @@
   readonly waitMs?: number;
 }
 
-/** Sends a request and reads whatever comes back. */
+/** Sends a request and reads the response until it ends or is interrupted. */
 export function callDaemon(
   address: string,
   path: string,
@@ -122,15 +125,15 @@
       res.on('data', (chunk: Buffer) => (text += chunk.toString()));
       res.on('error', () => undefined);
       res.on('close', () => {
-        const { statusCode: status = 0, headers: given, complete: isWhole } = res;
-        resolve({ status, headers: given, text, isWhole });
+        const { statusCode: status = 0, headers: received, complete: isWhole } = res;
+        resolve({ status, headers: received, text, isWhole });
       });
     });
     req.end(body);
   });
 }
 
-/** Ids of the events of a stream, in order. */
+/** Returns the event ids of a stream, in order. */
 export function eventIds(text: string): number[] {
   return [...text.matchAll(/^id: (\d+)$/gm)].map((match) => Number(match[1]));
 }
--- a/tests/support/raw-peers.ts
+++ b/tests/support/raw-peers.ts
@@ -1,4 +1,4 @@
-/** Links of one daemon alone, and raw connections to it, for tests of the adapter. */
+/** The peer adapter of a single daemon, and raw connections to it, for tests of the adapter. */
 
 import { connect } from 'node:net';
 import type { Socket } from 'node:net';
@@ -13,6 +13,7 @@
 import type { Logger } from '../../src/ports/runtime';
 import { isRecord } from '../../src/utils/is';
 
+/** The only kind of message that the peers of these tests exchange. */
 export interface TestMessage {
   readonly kind: 'test';
   readonly text: string;
@@ -20,49 +21,51 @@
 
 export const SECRET = 'the shared secret';
 
-const ignore = (): void => undefined;
-const SILENT: Logger = { debug: ignore, info: ignore, warn: ignore, error: ignore };
+const noop = (): void => undefined;
+const SILENT_LOGGER: Logger = { debug: noop, info: noop, warn: noop, error: noop };
 
-function parseTest(frame: unknown): TestMessage | undefined {
+function parseTestMessage(frame: unknown): TestMessage | undefined {
   if (!isRecord(frame) || frame.kind !== 'test' || typeof frame.text !== 'string') return undefined;
   return { kind: 'test', text: frame.text };
 }
 
+/** Creates the peer adapter of a daemon at an address. */
 export function peersAt(
   id: string,
   address: string,
   options: {
     readonly secret?: string;
     readonly settings?: Partial<PeerSettings>;
-    /** Takes the messages of warnings. */
+    /** Receives the messages of logged warnings. */
     readonly warnings?: string[];
   } = {},
 ): TcpPeers<TestMessage> {
   return createPeers<TestMessage>({
     self: { id: id as DaemonId, address },
     secret: options.secret ?? SECRET,
-    parse: parseTest,
+    parse: parseTestMessage,
     clock: createClock(),
     random: createRandom(1),
-    logger: { ...SILENT, warn: (message) => options.warnings?.push(message) },
+    logger: { ...SILENT_LOGGER, warn: (message) => options.warnings?.push(message) },
     settings: options.settings ?? {},
   });
 }
 
-/** A raw connection; what comes in is dropped. */
+/** Opens a raw connection that discards everything it receives. */
 export async function rawSocket(address: string): Promise<Socket> {
   const socket = connect(parseAddress(address));
-  socket.on('error', ignore);
+  socket.on('error', noop);
   await new Promise((resolve) => socket.once('connect', resolve));
   socket.resume();
   return socket;
 }
 
+/** Resolves once the socket is closed. */
 export async function closed(socket: Socket): Promise<void> {
   if (!socket.destroyed) await new Promise((resolve) => socket.once('close', resolve));
 }
 
-/** A link that knows the secret, on a socket that the test holds. */
+/** Opens an authenticated link and returns it with its socket, which the test controls. */
 export async function provedLink(address: string): Promise<{ link: Link; socket: Socket }> {
   const socket = connect(parseAddress(address));
   return new Promise((resolve) => {
@@ -78,7 +81,7 @@
         return true;
       },
       onFrame: () => true,
-      onClose: ignore,
+      onClose: noop,
     });
   });
 }
--- a/tests/support/reaper-process.mjs
+++ b/tests/support/reaper-process.mjs
@@ -1,5 +1,6 @@
-// Ends processes of a test that was itself ended: reads their ids, a line each, and once its input
-// closes, as it does however the test ends, kills those of them that still run the given program.
+// Kills the child processes of a test, even when the test process itself was killed. Reads their process ids
+// from stdin, one a line. Stdin closes however the test ends; this then kills those of the processes that
+// still run the given program.
 import { readFileSync } from 'node:fs';
 import { createInterface } from 'node:readline';
 
--- a/tests/support/server-rules.ts
+++ b/tests/support/server-rules.ts
@@ -1,34 +1,37 @@
-/** The platform's rules for what a server says of itself, as oracles count by them. */
+/** The platform's rules on the limits and backoffs that a server announces, as the test oracles apply them. */
 
-/** Counted from so long after a server first named its limit, over spans of this length. */
+/** Requests count from this long after a server first announces its limit. */
 export const SETTLE_MS = 3_000;
+/** Length of the spans in which requests are counted. */
 export const SPAN_MS = 4_000;
-const SPARE_RATIO = 1.5;
-const SPARE_REQUESTS = 5;
-/** From so long after an answer asked for rest to its end, no more than so many requests of one daemon. */
-const HEARD_MS = 500;
+const TOLERANCE_RATIO = 1.5;
+const TOLERANCE_REQUESTS = 5;
+/** A backoff (Retry-After) binds a daemon from this long after the answer that asked for it. */
+const BACKOFF_GRACE_MS = 500;
+/** Most requests of one daemon from then to the end of the backoff. */
 export const MOST_IN_REST = 2;
 
-/** Requests that a span may hold in which the server takes `taken`. */
-export function allowedInSpan(taken: number): number {
-  return SPARE_RATIO * taken + SPARE_REQUESTS;
+/** Requests allowed in a span in which the server accepts `accepted`. */
+export function allowedInSpan(accepted: number): number {
+  return TOLERANCE_RATIO * accepted + TOLERANCE_REQUESTS;
 }
 
-/** The same for a limit that stands throughout. */
+/** Requests allowed in a span with a constant limit. */
 export function allowedBy(limitPerS: number): number {
   return allowedInSpan((limitPerS * SPAN_MS) / 1_000);
 }
 
-/** Most requests in one span. */
+/** Returns the most requests in any one span; `times` in milliseconds. */
 export function mostInSpan(times: readonly number[]): number {
   const counts = times.map((from) => times.filter((t) => t >= from && t < from + SPAN_MS).length);
   return Math.max(0, ...counts);
 }
 
-/** Most requests of one daemon within a rest, where the server asks for one with each answer. */
-export function mostInRest(times: readonly number[], restS: number): number {
+/** Returns the most requests of one daemon within one backoff, where every answer of the server asks for one. */
+export function mostInRest(times: readonly number[], backoffS: number): number {
   const counts = times.map(
-    (from) => times.filter((t) => t > from + HEARD_MS && t < from + restS * 1_000).length,
+    (from) =>
+      times.filter((t) => t > from + BACKOFF_GRACE_MS && t < from + backoffS * 1_000).length,
   );
   return Math.max(0, ...counts);
 }
--- a/tests/support/yield.ts
+++ b/tests/support/yield.ts
@@ -1,6 +1,6 @@
 /**
- * Gives the event loop a turn before each test. Tests that run without a wait leave it none, and a file
- * of hundreds of them then holds up the messages to the test runner, which gives up after a minute.
+ * Yields to the event loop before each test. Tests that never wait block it, and a file with hundreds of
+ * them delays the messages to the test runner, which times out after a minute.
  */
 
 import { setImmediate } from 'node:timers/promises';
