--- a/tests/faults/groups.test.ts
+++ b/tests/faults/groups.test.ts
@@ -6,7 +6,7 @@
 import { configOf, createWorld, modelSpec } from '../support/control-world';
 import type { FakeDaemon, World } from '../support/control-world';
 
-/** The step in progress when the fault comes: reached when its text is in the log, or its test. */
+/** The step in progress when the fault starts; `reached` detects it from the log or the engines. */
 interface StepCase {
   readonly name: string;
   readonly prepare: (world: World) => void | Promise<void>;
@@ -20,9 +20,9 @@
 }
 
 const START_MS = 12_000;
-const STRUCK_MS = 25_000;
+const FAULT_MS = 25_000;
 const RECOVERY_MS = 60_000;
-const LONGEST_WAIT_MS = 40_000;
+const MAX_WAIT_MS = 40_000;
 
 function holder(world: World): FakeDaemon | undefined {
   return world.daemons.find(({ control }) => control.heldDomains().length > 0) ?? world.daemons[0];
@@ -45,13 +45,13 @@
   await world.advance(START_MS);
 }
 
-async function withoutMember(world: World): Promise<void> {
+async function withLostMember(world: World): Promise<void> {
   await started(world);
   const lost = member(world, 1);
   if (lost) lost.up = false;
 }
 
-async function withLeaving(world: World): Promise<void> {
+async function withLeavingMember(world: World): Promise<void> {
   await started(world);
   const rank0 = member(world, 0);
   if (rank0) rank0.inFlight = 1;
@@ -75,13 +75,13 @@
   { name: 'serving', prepare: started, reached: (world) => logged(world, 'serving') },
   {
     name: 'waiting for a member',
-    prepare: withoutMember,
+    prepare: withLostMember,
     reached: ({ engines }) => [...engines.values()].some((one) => one.state === 'broken'),
   },
-  { name: 'replacing', prepare: withoutMember, reached: (world) => logged(world, 'replace') },
+  { name: 'replacing', prepare: withLostMember, reached: (world) => logged(world, 'replace') },
   {
     name: 'draining',
-    prepare: withLeaving,
+    prepare: withLeavingMember,
     reached: (world) => member(world, 0)?.state === 'draining',
   },
   {
@@ -94,17 +94,17 @@
   },
 ];
 
-const nothing = (): void => undefined;
+const noop = (): void => undefined;
 
 const FAULTS: readonly FaultCase[] = [
   {
     name: 'holder killed',
     strike: async (world) => {
-      const struck = holder(world);
-      if (struck) world.kill(struck);
+      const target = holder(world);
+      if (target) world.kill(target);
       await world.addDaemon('new');
     },
-    end: nothing,
+    end: noop,
   },
   {
     name: 'holder frozen past its lease',
@@ -134,14 +134,14 @@
     },
   },
   {
-    name: 'answers of commits lost',
+    name: 'commit responses lost',
     strike: ({ table }) => {
       table.lostAnswers = 3;
     },
-    end: nothing,
+    end: noop,
   },
   {
-    name: 'commits arrive late',
+    name: 'commits delayed',
     strike: ({ table }) => {
       table.lateCommits = 3;
     },
@@ -150,7 +150,7 @@
     },
   },
   {
-    name: 'orders arrive late',
+    name: 'orders delayed',
     strike: (world) => {
       Object.assign(holder(world) ?? {}, { lateOrders: 6 });
     },
@@ -179,7 +179,7 @@
     },
   },
   {
-    name: 'domain dark',
+    name: 'all engines of the domain down',
     strike: ({ engines }) => {
       for (const one of engines.values()) one.up = false;
     },
@@ -191,11 +191,11 @@
     name: 'holder killed and a member dies',
     strike: async (world) => {
       Object.assign(member(world, 2) ?? {}, { up: false });
-      const struck = holder(world);
-      if (struck) world.kill(struck);
+      const target = holder(world);
+      if (target) world.kill(target);
       await world.addDaemon('new');
     },
-    end: nothing,
+    end: noop,
   },
   {
     name: 'table down and two members die',
@@ -209,12 +209,12 @@
   },
 ];
 
-async function worldFor(checksFencing: boolean): Promise<World> {
+async function createCheckedWorld(checksFencing: boolean): Promise<World> {
   const oracle = createOracle();
   const world = createWorld({
     drift: 0.03,
-    onStep: (stepped) => {
-      oracle.check(stepped);
+    onStep: (current) => {
+      oracle.check(current);
     },
   });
   for (let n = 1; n <= 7; n++) world.addEngine(`e${n}`, 'd1', { checksFencing });
@@ -223,7 +223,7 @@
 }
 
 async function until(world: World, reached: (world: World) => boolean): Promise<void> {
-  for (let waited = 0; waited < LONGEST_WAIT_MS && !reached(world); waited += 100) {
+  for (let waited = 0; waited < MAX_WAIT_MS && !reached(world); waited += 100) {
     await world.advance(100);
   }
   expect(reached(world)).toBe(true);
@@ -231,19 +231,22 @@
 
 describe.each(STEPS)('while $name', (step) => {
   describe.each([true, false])('engines that check fencing numbers: %s', (checksFencing) => {
-    it.each(FAULTS)('$name: nothing wrong, and served in the end', async (fault) => {
-      const world = await worldFor(checksFencing);
-      await step.prepare(world);
-      await until(world, step.reached);
-      await fault.strike(world);
-      await world.advance(STRUCK_MS);
-      fault.end(world);
-      for (const one of world.engines.values()) one.inFlight = 0;
-      start(world);
-      await world.advance(RECOVERY_MS);
-      for (const { control } of world.daemons) {
-        expect(control.routable('m' as never)).toHaveLength(1);
-      }
-    });
+    it.each(FAULTS)(
+      '$name: violates no invariant, and the model is served after recovery',
+      async (fault) => {
+        const world = await createCheckedWorld(checksFencing);
+        await step.prepare(world);
+        await until(world, step.reached);
+        await fault.strike(world);
+        await world.advance(FAULT_MS);
+        fault.end(world);
+        for (const one of world.engines.values()) one.inFlight = 0;
+        start(world);
+        await world.advance(RECOVERY_MS);
+        for (const { control } of world.daemons) {
+          expect(control.routable('m' as never)).toHaveLength(1);
+        }
+      },
+    );
   });
 });
--- a/tests/faults/membership-links.test.ts
+++ b/tests/faults/membership-links.test.ts
@@ -45,7 +45,7 @@
   await Promise.all([daemon.stop(), ...others.splice(0).map((peers) => peers.stop())]);
 });
 
-/** The daemon still takes messages of others. */
+/** Checks that the daemon still accepts messages from other daemons. */
 async function expectAlive(): Promise<void> {
   const peers = await other(SECRET);
   peers.send(addressOf(0), { kind: 'test', text: 'still there' });
@@ -73,13 +73,13 @@
     expect(taken).toEqual([]);
   });
 
-  it('is refused to one who replays the proof of an earlier link', async () => {
+  it('is refused to a peer that replays the proof of an earlier link', async () => {
     const own = makeHello({ id: 'raw' as DaemonId, address: '127.0.0.1:1', process: 'p' });
     const first = await rawSocket(addressOf(0));
     first.write(encodeFrame(own));
     const hello = parseHello(await nextFrame(first));
     if (!hello) throw new Error('no hello came');
-    // What an eavesdropper would have seen on that link.
+    // An eavesdropper on that link would have seen this proof.
     const proof = makeProof(SECRET, 'dialler', own, hello);
     first.destroy();
     const socket = await rawSocket(addressOf(0));
@@ -90,7 +90,7 @@
     expect(got).toEqual([]);
   });
 
-  it('takes no message before the handshake is over', async () => {
+  it('accepts no message before the handshake is complete', async () => {
     const socket = await rawSocket(addressOf(0));
     socket.write(encodeFrame({ kind: 'test', text: 'too early' }));
     await closed(socket);
@@ -102,24 +102,24 @@
     ['an HTTP request', Buffer.from('GET / HTTP/1.1\r\nHost: x\r\n\r\n')],
     ['a header that claims a huge array', Buffer.from('9affffffff', 'hex')],
     ['nothing at all', Buffer.alloc(0)],
-  ])('is closed to one who sends %s, and others are served', async (_, bytes) => {
+  ])('is closed when the peer sends %s, and other peers are served', async (_, bytes) => {
     const socket = await rawSocket(addressOf(0));
     if (bytes.length > 0) socket.write(bytes);
     await closed(socket);
     await expectAlive();
   });
 
-  it('is closed at once to one who sends more than a handshake takes', async () => {
+  it('is closed at once when the peer sends more than a handshake needs', async () => {
     const patient = peersAt('patient', addressOf(1), { settings: { handshakeMs: 60_000 } });
     await patient.start();
     others.push(patient);
     const socket = await rawSocket(addressOf(1));
-    // The header of a text of a million bytes, and some of them.
+    // The header of a string of a million bytes, and the first 5000 of them.
     socket.write(Buffer.concat([Buffer.from('7a000f4240', 'hex'), Buffer.alloc(5000, 0x61)]));
     await closed(socket);
   });
 
-  it('is broken by a frame that is too large', async () => {
+  it('is closed by an oversized frame', async () => {
     const { link, socket } = await provedLink(addressOf(0));
     link.send({ kind: 'test', text: 'x'.repeat(3_000_000) });
     await closed(socket);
@@ -127,7 +127,7 @@
     await expectAlive();
   });
 
-  it('is broken by a frame that no daemon sends', async () => {
+  it('is closed by a frame of an unknown kind', async () => {
     const { link, socket } = await provedLink(addressOf(0));
     link.send({ kind: 'test', text: 'fine' });
     link.send({ kind: 'other' });
@@ -136,14 +136,14 @@
     expect(warnings).toEqual(['message refused: no daemon sends such a one']);
   });
 
-  it('carries messages sent while it was being made, in order', async () => {
+  it('delivers messages sent during connection setup, in order', async () => {
     const peers = await other(SECRET);
     for (const text of ['a', 'b', 'c']) peers.send(addressOf(0), { kind: 'test', text });
     await until('all arrive', () => got.length === 3);
     expect(got).toEqual(['a', 'b', 'c']);
   });
 
-  it('does not lead to the daemon itself', () => {
+  it('is never made to the daemon itself', () => {
     expect(daemon.send(addressOf(0), { kind: 'test', text: 'hello, me' })).toBe(false);
   });
 });
@@ -177,7 +177,7 @@
     server.close();
   });
 
-  it('is dropped when too much waits for it; what waits is bounded', async () => {
+  it('is disconnected when its send queue is full; the queue is bounded', async () => {
     const lost: string[] = [];
     daemon.unreachable.subscribe((address) => lost.push(address));
     const message: TestMessage = { kind: 'test', text: 'x'.repeat(100_000) };
@@ -187,7 +187,7 @@
       await new Promise(setImmediate);
     }
     expect(lost).toEqual([addressOf(1)]);
-    // What the kernel holds for a socket, and what the link may hold, with room to spare.
+    // The kernel's socket buffers plus the link's own limit, with a margin.
     expect(sent * message.text.length).toBeLessThan(30_000_000);
     await expectAliveWithoutOther();
   });
@@ -200,8 +200,8 @@
   }
 });
 
-describe('a daemon that is not there', () => {
-  it('is dialled again after growing delays, and reached once it is back', async () => {
+describe('an unreachable daemon', () => {
+  it('is redialled with increasing delays, and reached once it is back', async () => {
     const lost: number[] = [];
     daemon.unreachable.subscribe(() => lost.push(performance.now()));
     const message: TestMessage = { kind: 'test', text: 'hello' };
--- a/tests/faults/membership-network.test.ts
+++ b/tests/faults/membership-network.test.ts
@@ -22,14 +22,14 @@
   );
 }
 
-describe('links that go silent', () => {
-  it('are replaced: all daemons stay alive to each other and entries go on', async () => {
+describe('links that stop delivering', () => {
+  it('are replaced: all daemons see each other alive and entries still spread', async () => {
     fleet = await startFleet({ count: 3 });
     await allKnow(3);
-    const given = new Set<string>();
+    const reporters = new Set<string>();
     for (const daemon of fleet.daemons) {
       daemon.part.changes.subscribe((peers) => {
-        if (peers.length < 3) given.add(daemon.id);
+        if (peers.length < 3) reporters.add(daemon.id);
       });
     }
     for (const { id } of fleet.daemons) fleet.silence(id);
@@ -43,12 +43,12 @@
         fleet.daemons.every(({ id }) => beliefOf(viewer, id) === 'alive'),
       ),
     );
-    expect([...given]).toEqual([]);
+    expect([...reporters]).toEqual([]);
   });
 });
 
 describe('daemons with certificates', () => {
-  it('find each other over TLS, and take no plain connection', async () => {
+  it('discover each other over TLS and reject plaintext connections', async () => {
     fleet = await startFleet({ count: 3, tls: TLS });
     await allKnow(3);
     const socket = await rawSocket(fleet.daemons[0]?.address ?? '');
--- a/tests/faults/requests-cells.ts
+++ b/tests/faults/requests-cells.ts
@@ -1,4 +1,4 @@
-/** What each fault does to a request that has reached a step. */
+/** Faults of the request matrix, injected while a request waits at a step. */
 
 import { DEADLINE_MS, cutOff, reserve } from './requests-world';
 import type { DaemonProcess, Held, Step, Told, World } from './requests-world';
@@ -17,45 +17,45 @@
 
 export type Fault = (typeof FAULTS)[number];
 
-/** One cell of the matrix at work. */
+/** One running cell of the fault matrix. */
 export interface Cell {
   readonly world: World;
   readonly step: Step;
   readonly daemons: readonly [DaemonProcess, DaemonProcess];
-  /** The request that the fault is aimed at, sent through the first daemon. */
+  /** The request under fault, sent through the first daemon. */
   readonly first: Promise<Told>;
-  /** What that request holds at the step. */
+  /** The operation of that request that waits at the step. */
   readonly held: Held;
-  /** All requests sent again so far. */
+  /** All retries so far. */
   readonly again: Promise<Told>[];
 }
 
-/** Longer than a request lives, and the platform client waits. */
+/** Exceeds the request deadline and the platform client's timeout. */
 const PAST_DEADLINE_MS = DEADLINE_MS + 200;
 
 function pause(ms: number): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, ms));
 }
 
-/** Sends the request again through the second daemon, and waits for its end. */
-async function sendAgain(cell: Cell): Promise<void> {
+/** Retries the request through the second daemon and waits for the result. */
+async function retry(cell: Cell): Promise<void> {
   const told = reserve(cell.daemons[1], DEADLINE_MS);
   cell.again.push(told);
   await told;
 }
 
-/** The fault, from the moment that the request is held until nothing is held any more. */
+/** Runs each fault, from the moment the request is held until every held operation is released. */
 export const FAULT_RUNS: Readonly<Record<Fault, (cell: Cell) => Promise<void>>> = {
   kill: async (cell) => {
     cell.daemons[0].child.kill('SIGKILL');
-    await sendAgain(cell);
+    await retry(cell);
     cell.held.release('pass');
   },
 
   freeze: async (cell) => {
     cell.daemons[0].child.kill('SIGSTOP');
     cell.held.release('pass');
-    await sendAgain(cell);
+    await retry(cell);
     await pause(PAST_DEADLINE_MS);
     cell.daemons[0].child.kill('SIGCONT');
   },
@@ -64,7 +64,7 @@
     cutOff(cell.world, 0);
     cell.held.release('cut-after');
     await cell.first;
-    await sendAgain(cell);
+    await retry(cell);
     cell.world.cutOff.delete(0);
   },
 
@@ -74,7 +74,7 @@
   },
 
   slow: async (cell) => {
-    await sendAgain(cell);
+    await retry(cell);
     await pause(PAST_DEADLINE_MS);
     cell.held.release('pass');
   },
@@ -82,7 +82,7 @@
   late: async (cell) => {
     cell.held.release('late');
     await cell.first;
-    await sendAgain(cell);
+    await retry(cell);
     cell.world.landLate();
   },
 
@@ -101,7 +101,7 @@
     cell.world.storeDown.add(0).add(1);
     cell.held.release('pass');
     await cell.first;
-    await sendAgain(cell);
+    await retry(cell);
     cell.world.storeDown.clear();
   },
 
@@ -109,7 +109,7 @@
     cell.daemons[0].child.kill('SIGSTOP');
     cell.world.storeDown.add(1);
     cell.held.release('cut-after');
-    await sendAgain(cell);
+    await retry(cell);
     await pause(PAST_DEADLINE_MS);
     cell.world.storeDown.clear();
     cell.daemons[0].child.kill('SIGCONT');
--- a/tests/faults/requests-daemon.ts
+++ b/tests/faults/requests-daemon.ts
@@ -1,4 +1,4 @@
-/** A request plane as a process of its own, for faults that only a process can suffer. */
+/** Runs the request plane in its own process, for faults such as kill and freeze. */
 
 import { createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
--- a/tests/faults/requests-world.ts
+++ b/tests/faults/requests-world.ts
@@ -1,6 +1,6 @@
 /**
- * Two daemons before one table and one plain service, with a gate at each step of a request. Each
- * daemon reaches the table and the service on ports of its own, so that one can be cut off alone.
+ * Two daemons with one table and one plain service, and a gate at each step of a request. Each
+ * daemon has its own ports for the table and the service, so that it can be partitioned alone.
  */
 
 import { build } from 'esbuild';
@@ -23,10 +23,10 @@
 const PROGRAM = 'dist/test-requests-daemon.cjs';
 export const DEADLINE_MS = 800;
 
-/** What happens to what is held at a gate when it is let go. */
+/** How a held operation continues when it is released from a gate. */
 export type Release = 'pass' | 'cut-before' | 'cut-after' | 'late';
 
-/** Something that reached a step and waits there. */
+/** An operation that waits at a step. */
 export interface Held {
   readonly daemon: number;
   readonly step: Step;
@@ -43,15 +43,15 @@
   readonly table: FakeTable;
   /** Attempts that the service ran, by request id, in order. */
   readonly runs: { readonly requestId: string; readonly answer: string }[];
-  /** Daemons whose way to the table and the service is cut. */
+  /** Daemons partitioned from the table and the service. */
   readonly cutOff: Set<number>;
-  /** Daemons to which the table says that it is down. */
+  /** Daemons to which the table returns 503. */
   readonly storeDown: Set<number>;
-  /** Steps at which the requests of a daemon stop. */
+  /** The step at which the next request of a daemon is held. */
   readonly gates: Map<number, Step>;
-  /** Resolves when something has reached a gate. */
+  /** Resolves when an operation reaches a gate. */
   nextHeld(): Promise<Held>;
-  /** Lets all that was released as `late` take effect. */
+  /** Applies all operations that were released as `late`. */
   landLate(): void;
   readonly ports: readonly Ports[];
   readonly close: () => Promise<void>;
@@ -69,7 +69,7 @@
   res.end(JSON.stringify(value));
 }
 
-/** The step that a transaction belongs to. */
+/** The step to which a transaction belongs. */
 function stepOf({ writes }: Transaction): 'claim' | 'record' {
   return JSON.stringify(writes).includes('"state":"claimed"') ? 'claim' : 'record';
 }
@@ -78,6 +78,7 @@
   readonly keys: readonly string[];
 }
 
+/** Starts the table and the service on the ports of both daemons. */
 export async function createWorld(): Promise<World> {
   const table = createFakeTable();
   const { table: rows } = table.client();
@@ -89,18 +90,18 @@
   const waiters: ((held: Held) => void)[] = [];
   let late: (() => void)[] = [];
 
-  const offer = (each: Held): void => {
+  const enqueue = (each: Held): void => {
     const waiter = waiters.shift();
     if (waiter === undefined) held.push(each);
     else waiter(each);
   };
 
-  /** Waits if a gate stands at this step; each gate stops one request only. */
+  /** Waits if this step has a gate; each gate holds only one request. */
   const pass = (daemon: number, step: Step): Promise<Release> => {
     if (gates.get(daemon) !== step) return Promise.resolve('pass');
     gates.delete(daemon);
     return new Promise((release) => {
-      offer({ daemon, step, release });
+      enqueue({ daemon, step, release });
     });
   };
 
@@ -145,7 +146,7 @@
     return answer;
   };
 
-  const serveCall = async (
+  const serveBackend = async (
     daemon: number,
     req: IncomingMessage,
     res: ServerResponse,
@@ -174,7 +175,7 @@
 
   const openPorts = async (daemon: number): Promise<Ports> => {
     const stores = await listen((req, res) => void serveTable(daemon, req, res));
-    const services = await listen((req, res) => void serveCall(daemon, req, res));
+    const services = await listen((req, res) => void serveBackend(daemon, req, res));
     return {
       table: stores.address,
       backend: services.address,
@@ -210,7 +211,7 @@
   };
 }
 
-/** Cuts the connections that a daemon has, and those it makes from now on. */
+/** Closes the current connections of a daemon and rejects new ones. */
 export function cutOff(world: World, daemon: number): void {
   world.cutOff.add(daemon);
   world.ports[daemon]?.servers.forEach((server) => {
@@ -218,7 +219,7 @@
   });
 }
 
-/** A daemon as a process. */
+/** A daemon that runs as a child process. */
 export interface DaemonProcess {
   readonly url: string;
   readonly child: ChildProcess;
@@ -237,6 +238,7 @@
   });
 }
 
+/** Starts the process of a daemon and waits until it listens. */
 export async function startDaemon(world: World, daemon: number): Promise<DaemonProcess> {
   const ports = world.ports[daemon];
   const args = [PROGRAM, `d${daemon}`, ports?.table ?? '', ports?.backend ?? ''];
@@ -246,10 +248,10 @@
   return { url: `http://${address}`, child };
 }
 
-/** What became of a request: an answer, or a connection that broke before there was one. */
+/** The outcome of a request: a response, or `broken` if the connection failed before it. */
 export type Told = ReceivedResponse | 'broken';
 
-/** Sends the one request that all cells are about. */
+/** Sends the request under test, always with the same idempotency key. */
 export async function reserve({ url }: DaemonProcess, deadlineMs: number): Promise<Told> {
   const headers = {
     'idempotency-key': 'k',
--- a/tests/faults/requests.test.ts
+++ b/tests/faults/requests.test.ts
@@ -1,7 +1,7 @@
 /**
- * The fault matrix of a request that must run at most once: every fault at every step. After the
- * fault the request is sent again through both daemons; whatever happened, the service ran it at most
- * once, and never where a caller was told `not-run`.
+ * Fault matrix of a request that must run at most once: every fault at every step. After the fault
+ * the request is retried through both daemons. The service must have run it at most once, and never
+ * when a caller received `not-run`.
  */
 
 import { afterEach, beforeAll, describe, expect, it } from 'vitest';
@@ -42,17 +42,17 @@
   return { world, step, daemons, first, held: await world.nextHeld(), again: [] };
 }
 
-/** Sends the request through both daemons once the fault is over; a dead daemon gives `broken`. */
+/** Sends the request through both daemons after the fault; a dead daemon yields `broken`. */
 async function sendThroughBoth({ daemons }: Cell): Promise<readonly Told[]> {
-  const told: Told[] = [];
-  for (const daemon of daemons) told.push(await reserve(daemon, 5_000));
-  return told;
+  const replies: Told[] = [];
+  for (const daemon of daemons) replies.push(await reserve(daemon, 5_000));
+  return replies;
 }
 
-function check(world: World, told: readonly Told[]): void {
+function check(world: World, replies: readonly Told[]): void {
   expect(world.runs.length).toBeLessThanOrEqual(1);
   const ran = new Set(world.runs.map(({ requestId }) => requestId));
-  for (const each of told) {
+  for (const each of replies) {
     if (each === 'broken' || !each.isComplete) continue;
     const id = String(each.headers['nutmegstack-request-id']);
     const outcome = each.headers['nutmegstack-outcome'];
@@ -65,14 +65,17 @@
 async function runCell(step: Step, fault: Fault): Promise<void> {
   const cell = await start(step);
   await FAULT_RUNS[fault](cell);
-  const told = [await cell.first, ...(await Promise.all(cell.again))];
-  check(cell.world, told);
-  told.push(...(await sendThroughBoth(cell)));
-  check(cell.world, told);
+  const replies = [await cell.first, ...(await Promise.all(cell.again))];
+  check(cell.world, replies);
+  replies.push(...(await sendThroughBoth(cell)));
+  check(cell.world, replies);
 }
 
 describe.each(STEPS)('a request at the step %s', (step) => {
-  it.each(FAULTS)('runs at most once, and is honestly told so, under %s', async (fault) => {
-    await runCell(step, fault);
-  });
+  it.each(FAULTS)(
+    'runs at most once, and reports its outcome correctly, under %s',
+    async (fault) => {
+      await runCell(step, fault);
+    },
+  );
 });
--- a/tests/faults/system.test.ts
+++ b/tests/faults/system.test.ts
@@ -1,4 +1,4 @@
-/** Faults of whole processes: kills, freezes, outages and planned stops, over real sockets. */
+/** Process-level faults over real sockets: kills, freezes, outages and planned stops. */
 
 import { afterAll, beforeAll, describe, expect, it } from 'vitest';
 import * as z from 'zod';
@@ -17,7 +17,7 @@
 
 const STREAMS = 100;
 const LONG_PROMPT = [{ role: 'user', content: 'tokens=600 please' }];
-/** A leaving instance gets no new work after this, milliseconds. */
+/** Time after which a leaving instance receives no new work, in milliseconds. */
 const LEAVING_LIMIT_MS = 3_000;
 
 const report = z.object({ state: z.string(), group: z.string().optional() });
@@ -41,7 +41,7 @@
 
 function daemonAt(index: number): DaemonProcess {
   const daemon = system.daemons[index];
-  if (daemon === undefined) throw new RangeError(`no daemon ${index}`);
+  if (daemon === undefined) throw new RangeError(`daemon ${index} does not exist`);
   return daemon;
 }
 
@@ -65,7 +65,7 @@
   return Promise.all(members().map(recordOf));
 }
 
-/** Members that say they serve. */
+/** Members that report the state `serving`. */
 async function serving(): Promise<Member[]> {
   const states = await Promise.all(members().map(stateOf));
   return members().filter((_, i) => states[i] === 'serving');
@@ -86,7 +86,7 @@
   return Object.fromEntries(Object.entries(ran).map(([key, n]) => [key.replace('rennes:', ''), n]));
 }
 
-async function answerWhole(daemon: DaemonProcess, count: number): Promise<void> {
+async function expectResponses(daemon: DaemonProcess, count: number): Promise<void> {
   for (let n = 0; n < count; n++) {
     const res = await chat(daemon, {});
     const text = await res.text();
@@ -94,8 +94,8 @@
   }
 }
 
-/** Rows of the table, as text. */
-async function rowsBelow(prefix: string): Promise<string> {
+/** The table rows below a key prefix, as JSON text. */
+async function scanRows(prefix: string): Promise<string> {
   const { body } = await callJson({
     address: system.platform,
     method: 'POST',
@@ -106,7 +106,7 @@
 }
 
 beforeAll(async () => {
-  // Two domains, each with room for one group and two spare instances.
+  // Two domains, each with capacity for one group and two spare instances.
   system = await startSystem({ daemons: 4, domains: [6, 6] });
   await submit(daemonAt(0), documentFor(system, 2));
   await untilServing(system);
@@ -116,10 +116,10 @@
 afterAll(() => system.stop());
 
 describe('the table service down', () => {
-  it('stops no model request, and refuses at once what needs a claim', async () => {
+  it('stops no model request, and rejects at once requests that need a claim', async () => {
     await setFaults(system.platform, { table: { down: true } });
     try {
-      await answerWhole(daemonAt(0), 5);
+      await expectResponses(daemonAt(0), 5);
       const res = await call(daemonAt(1), 'while-down');
       expect(res.status).toBe(503);
       expect(res.headers.get('nutmegstack-outcome')).toBe('not-run');
@@ -131,8 +131,8 @@
   });
 });
 
-describe('lost answers of the table service', () => {
-  it('leave a call at one execution at most, and its outcome honest', async () => {
+describe('lost responses of the table service', () => {
+  it('cause at most one execution of a call, with a correct outcome', async () => {
     await setFaults(system.platform, { table: { lostAnswers: 3 } });
     const first = await call(daemonAt(0), 'lost-answer');
     const second = await call(daemonAt(1), 'lost-answer');
@@ -145,16 +145,16 @@
 });
 
 describe('a killed daemon', () => {
-  it('leaves its non-repeatable call unknown to others, and run at most once', async () => {
+  it('leaves its non-repeatable call `unknown` on other daemons and run at most once', async () => {
     const victim = await system.addDaemon();
     await until(async () => ((await chat(victim, {})).status === 200 ? true : undefined), 'joined');
     await setFaults(system.service, { slowMs: 1_000 });
-    const before = await rowsBelow('claim/');
-    const cut = call(victim, 'killed').catch(() => undefined);
-    const claimed = async () => ((await rowsBelow('claim/')) === before ? undefined : true);
+    const before = await scanRows('claim/');
+    const interrupted = call(victim, 'killed').catch(() => undefined);
+    const claimed = async () => ((await scanRows('claim/')) === before ? undefined : true);
     await until(claimed, 'the call is claimed');
     await victim.process.kill();
-    expect(await cut).toBeUndefined();
+    expect(await interrupted).toBeUndefined();
     await setFaults(system.service, { slowMs: 0 });
     const again = await call(daemonAt(0), 'killed');
     expect(again.status).toBe(409);
@@ -165,34 +165,34 @@
 
 describe('a frozen daemon', () => {
   it('changes nothing when it resumes past its leases, and the others serve meanwhile', async () => {
-    const rows = await rowsBelow('lease/');
+    const rows = await scanRows('lease/');
     const frozen = system.daemons.find(({ id }) => rows.includes(`"holder":"${id}"`));
-    if (frozen === undefined) throw new Error('nobody holds a lease');
+    if (frozen === undefined) throw new Error('no daemon holds a lease');
     const other = system.daemons.find((daemon) => daemon !== frozen) ?? frozen;
     const before = (await records()).map(({ heldBy }) => heldBy);
     frozen.process.suspend();
     try {
       await until(async () => {
-        await answerWhole(other, 1);
-        return (await rowsBelow('lease/')).includes(`"holder":"${frozen.id}"`) ? undefined : true;
+        await expectResponses(other, 1);
+        return (await scanRows('lease/')).includes(`"holder":"${frozen.id}"`) ? undefined : true;
       }, 'others hold all leases');
     } finally {
       frozen.process.resume();
     }
-    await answerWhole(frozen, 3);
+    await expectResponses(frozen, 3);
     expect((await records()).map(({ heldBy }) => heldBy)).toEqual(before);
   });
 });
 
 describe('a member that crashes', () => {
-  it('is replaced, and nobody is in two groups meanwhile', async () => {
+  it('is replaced, and no member is in two groups meanwhile', async () => {
     const [victim] = await serving();
-    if (victim === undefined) throw new Error('nobody serves');
+    if (victim === undefined) throw new Error('no member is serving');
     await setFaults(victim.address, { crash: true });
-    const eight = async (): Promise<boolean> => (await serving()).length >= 8;
-    await until(async () => ((await eight()) ? undefined : true), 'the crash shows');
-    // The instance may have come back and be taken again: it holds the weights.
-    await until(async () => ((await eight()) ? true : undefined), 'two groups serve again');
+    const isAtFullSize = async (): Promise<boolean> => (await serving()).length >= 8;
+    await until(async () => ((await isAtFullSize()) ? undefined : true), 'the crash shows');
+    // The restarted instance may be chosen again, since it holds the weights.
+    await until(async () => ((await isAtFullSize()) ? true : undefined), 'two groups serve again');
     await until(
       async () => ((await chat(daemonAt(0), {})).status === 200 ? true : undefined),
       'it serves',
@@ -216,21 +216,21 @@
     while (Date.now() < limit) {
       await Promise.all(daemons.map(async (daemon) => (await chat(daemon, {})).text()));
     }
-    await Promise.all(daemons.map((daemon) => answerWhole(daemon, 3)));
+    await Promise.all(daemons.map((daemon) => expectResponses(daemon, 3)));
     const late = (await recordOf(victim)).runs.filter(({ at }) => at > limit);
     expect(late).toEqual([]);
   });
 });
 
 describe('a planned stop under open streams', () => {
-  it(`cuts none of ${STREAMS}`, async () => {
-    const leaver = daemonAt(3);
+  it(`interrupts none of ${STREAMS}`, async () => {
+    const stopping = daemonAt(3);
     const body = { stream: true, messages: LONG_PROMPT };
     const headers = { 'nutmegstack-deadline': String(Date.now() + 60_000) };
-    const streams = Array.from({ length: STREAMS }, () => chat(leaver, body, headers));
+    const streams = Array.from({ length: STREAMS }, () => chat(stopping, body, headers));
     const first = await Promise.race(streams);
     expect(first.status).toBe(200);
-    const ended = leaver.process.stop();
+    const ended = stopping.process.stop();
     const answers = await Promise.all(streams);
     const accepted = answers.filter((res) => res.status === 200);
     const texts = await Promise.all(accepted.map((res) => res.text()));
@@ -239,7 +239,7 @@
       expect(res.headers.get('nutmegstack-outcome')).toBe('not-run');
     }
     expect(await ended).toBe(0);
-    const held = leaseRows.parse(JSON.parse(await rowsBelow('lease/'))).rows;
-    expect(held.filter(({ value }) => value.holder === leaver.id && !value.released)).toEqual([]);
+    const held = leaseRows.parse(JSON.parse(await scanRows('lease/'))).rows;
+    expect(held.filter(({ value }) => value.holder === stopping.id && !value.released)).toEqual([]);
   });
 });
