--- a/tests/fuzz/groups.test.ts
+++ b/tests/fuzz/groups.test.ts
@@ -2,8 +2,8 @@
 
 import { fuzzGroups } from './groups/groups';
 
-describe('control plane under histories of faults', () => {
-  it.each([1, 2, 3])('keeps its promises with seed %i', async (seed) => {
+describe('control plane under random faults', () => {
+  it.each([1, 2, 3])('violates no invariant (seed %i)', async (seed) => {
     await fuzzGroups({ seed, runs: 12 });
   });
 });
--- a/tests/fuzz/lease-eras.ts
+++ b/tests/fuzz/lease-eras.ts
@@ -1,6 +1,6 @@
 /**
- * Candidates for one lease over a table that comes back from older copies, in virtual time: calls take time,
- * answers are lost, writes take effect late, processes pause and start again.
+ * Simulates candidates for one lease over a table that is restored from older copies, in virtual time: calls
+ * take time, responses are lost, writes take effect late, processes pause and restart.
  */
 
 import { createRandom } from '../../src/adapters/runtime';
@@ -21,9 +21,9 @@
   readonly violations: readonly string[];
   readonly returns: number;
   readonly terms: number;
-  /** What happened last, oldest first. */
+  /** The most recent events, oldest first. */
   readonly trace: readonly string[];
-  /** Longest time without a holder while calls were answered, milliseconds. */
+  /** Longest time without a holder while the table was available, in milliseconds. */
   readonly longestGapMs: number;
 }
 
@@ -32,7 +32,7 @@
   readonly row: T;
 }
 
-/** Rows by their keys, and the version of the newest write. */
+/** Rows by key, and the version of the latest write. */
 interface TableState {
   readonly version: number;
   readonly leases: ReadonlyMap<string, Stored<LeaseRow>>;
@@ -54,28 +54,29 @@
 const CANDIDATES = 5;
 const STEP_MS = 20;
 const SETTINGS = { ttlMs: 2_000, marginMs: 200, renewMs: 600, rankDelayMs: 300 };
-/** Copies are up to so old. */
-const OLDEST_COPY_MS = 6_000;
-const AWAY_MS = 800;
+/** Maximum age of a restored copy. */
+const MAX_COPY_AGE_MS = 6_000;
+const MAX_OUTAGE_MS = 800;
 const TRACE_LINES = 40;
 const STEPS = 50_000;
 
+/** Runs one seeded history until its last step or the first violation. */
 export function runLeaseEras({ seed, steps }: LeaseErasOptions): LeaseErasResult {
   const random = createRandom(seed);
   const chance = (share: number): boolean => random.next() < share;
-  const upTo = (ms: number): number => Math.floor(random.next() * ms);
+  const randomBelow = (ms: number): number => Math.floor(random.next() * ms);
   let now = 0;
   let era = 1;
   let table: TableState = { version: 1, leases: new Map(), fences: new Map() };
   const history: { readonly at: number; readonly table: TableState }[] = [];
-  let awayUntil = 0;
+  let unavailableUntil = 0;
   let due: Due[] = [];
   let returns = 0;
   let starts = 0;
   const violations: string[] = [];
-  /** Who was given each fencing number. */
+  /** The session that holds each fencing number. */
   const terms = new Map<FencingNumber, string>();
-  let ledAt = 0;
+  let lastHeldAt = 0;
   let longestGapMs = 0;
 
   const start = (n: number): Process => {
@@ -108,9 +109,9 @@
     for (const effect of step.effects) send(process, effect);
   };
 
-  /** The era is told before the result, as the adapter does. */
+  /** Dispatches the era before the result, as the adapter does. */
   const answer = (process: Process, answeredIn: number, event: LeaseEvent): void => {
-    after(2 + upTo(chance(0.1) ? 400 : 10), () => {
+    after(2 + randomBelow(chance(0.1) ? 400 : 10), () => {
       if (!processes.includes(process)) return;
       dispatch(process, { kind: 'era', era: answeredIn as StoreEra });
       dispatch(process, event);
@@ -164,9 +165,9 @@
   };
 
   const send = (process: Process, effect: LeaseEffect): void => {
-    // Some calls take effect late, perhaps in another era than that in which they were sent.
-    after(2 + upTo(chance(0.05) ? 3_000 : 8), () => {
-      if (now < awayUntil) {
+    // Some calls take effect late, possibly in a later era than the one they were sent in.
+    after(2 + randomBelow(chance(0.05) ? 3_000 : 8), () => {
+      if (now < unavailableUntil) {
         const failed: LeaseEvent =
           effect.kind === 'read' ? { kind: 'read-failed' } : { kind: 'refused', conflict: false };
         after(5, () => {
@@ -178,24 +179,24 @@
     });
   };
 
-  const returnFromCopy = (): void => {
-    const copyAt = now - upTo(OLDEST_COPY_MS);
+  const restoreFromCopy = (): void => {
+    const copyAt = now - randomBelow(MAX_COPY_AGE_MS);
     const copy = history.findLast(({ at }) => at <= copyAt);
     if (copy) ({ table } = copy);
     era += 1;
     returns += 1;
-    note(`came back from a copy of ${copy?.at ?? now}`);
-    awayUntil = now + upTo(AWAY_MS);
+    note(`restored from a copy of ${copy?.at ?? now}`);
+    unavailableUntil = now + randomBelow(MAX_OUTAGE_MS);
   };
 
-  const trouble = (): void => {
-    if (chance(0.002)) returnFromCopy();
+  const injectFaults = (): void => {
+    if (chance(0.002)) restoreFromCopy();
     if (chance(0.002)) {
-      const process = processes[upTo(CANDIDATES)];
-      if (process) process.pausedUntil = now + upTo(4_000);
+      const process = processes[randomBelow(CANDIDATES)];
+      if (process) process.pausedUntil = now + randomBelow(4_000);
     }
     if (chance(0.002)) {
-      const n = upTo(CANDIDATES);
+      const n = randomBelow(CANDIDATES);
       processes[n] = start(n);
     }
   };
@@ -208,15 +209,15 @@
       const { session } = state;
       const known = terms.get(fencing);
       if (known !== undefined && known !== session) {
-        violations.push(`at ${now}: ${fencing} is of ${known} and ${session}`);
+        violations.push(`at ${now}: fencing number ${fencing} is used by ${known} and ${session}`);
       }
       terms.set(fencing, session);
     }
     if (holders.length > 1) {
       violations.push(`at ${now}: ${holders.map(({ state }) => state.session).join()} hold`);
     }
-    if (holders.length > 0) ledAt = now;
-    longestGapMs = Math.max(longestGapMs, now - Math.max(ledAt, awayUntil));
+    if (holders.length > 0) lastHeldAt = now;
+    longestGapMs = Math.max(longestGapMs, now - Math.max(lastHeldAt, unavailableUntil));
   };
 
   const processes: Process[] = [];
@@ -227,7 +228,7 @@
     due = due.filter(({ at }) => at > now);
     for (const { run } of ready) run();
     history.push({ at: now, table });
-    if (history.length > OLDEST_COPY_MS / STEP_MS) history.shift();
+    if (history.length > MAX_COPY_AGE_MS / STEP_MS) history.shift();
     for (const process of processes) {
       if (now < process.pausedUntil) continue;
       if (!process.state.held && !process.state.reading && chance(0.03)) {
@@ -236,13 +237,13 @@
       }
       dispatch(process, { kind: 'tick' });
     }
-    trouble();
+    injectFaults();
     check();
   }
   return { violations, returns, terms: terms.size, longestGapMs, trace };
 }
 
-/** Histories of seeds that follow each other; throws with the first that breaks a rule. */
+/** Runs consecutive seeds; throws for the first history that violates a rule. */
 export function fuzzLeaseEras({ seed, runs, onRun }: FuzzOptions): void {
   for (let run = 0; run < runs; run++) {
     const { violations, trace } = runLeaseEras({ seed: seed + run, steps: STEPS });
--- a/tests/fuzz/limits.test.ts
+++ b/tests/fuzz/limits.test.ts
@@ -5,21 +5,21 @@
 
 const FIXED_SEEDS = 14;
 const FRESH_SEEDS = 7;
-/** Seeds that once broke the rule. */
+/** Seeds that have violated the rule before. */
 const FOUND_SEEDS = [810_287, 922_130];
 
-describe('a limit that many daemons share', () => {
-  it(`is kept and used (seeds 1 to ${FIXED_SEEDS})`, () => {
+describe('a rate limit shared by many daemons', () => {
+  it(`is respected and used (seeds 1 to ${FIXED_SEEDS})`, () => {
     fuzzLimits({ seed: 1, runs: FIXED_SEEDS });
   });
 
-  // Guards against daemons that hear of a change or of each other late and send more together than a server takes.
-  it.each([...FOUND_SEEDS, ...seedsOfCommit(FRESH_SEEDS)])('is kept (seed %i)', (seed) => {
+  // Guards against daemons that learn of a change or of each other late and together exceed a server's limit.
+  it.each([...FOUND_SEEDS, ...seedsOfCommit(FRESH_SEEDS)])('is respected (seed %i)', (seed) => {
     const result = runSeed(seed);
     expect(findExcess(result), result.trace.join('\n')).toBeUndefined();
   });
 
-  it('is seen to be exceeded where each daemon takes it for its own', () => {
+  it('is found to be exceeded if each daemon uses the full limit', () => {
     const sharing = runSeed(2, { faultShare: 0 });
     const unshared = runSeed(2, { faultShare: 0, isUnshared: true });
     expect(findExcess(sharing)).toBeUndefined();
--- a/tests/fuzz/main.ts
+++ b/tests/fuzz/main.ts
@@ -1,4 +1,4 @@
-/** Longer stateful fuzzing by hand: `npm run fuzz -- --seed S --runs N [--only name]`. */
+/** Command line for longer stateful fuzzing: `npm run fuzz -- --seed S --runs N [--only name]`. */
 
 import sade from 'sade';
 import * as z from 'zod';
@@ -33,15 +33,15 @@
   only: z
     .string()
     .refine((name) => name in FUZZES, {
-      error: `no such property; there are ${Object.keys(FUZZES).join(', ')}`,
+      error: `unknown property; expected one of ${Object.keys(FUZZES).join(', ')}`,
     })
     .optional(),
 });
 
-/** Between two lines of progress, milliseconds. */
+/** Interval between progress lines, in milliseconds. */
 const PROGRESS_MS = 10_000;
 
-/** Prints how many histories have passed, and how many a second. */
+/** Periodically prints the number of passed histories and the rate per second. */
 function createProgress(name: string): (passed: number) => void {
   const startedAt = Date.now();
   let printedAt = startedAt;
--- a/tests/fuzz/membership-world.ts
+++ b/tests/fuzz/membership-world.ts
@@ -1,6 +1,6 @@
 /**
- * The membership reducers of several daemons with the messages between them, which may be lost,
- * late or held up, and what must hold of them whatever happens.
+ * Simulates the membership reducers of several daemons and the messages between them, which may be
+ * lost or delayed, and checks the invariants.
  */
 
 import { createRandom } from '../../src/adapters/runtime';
@@ -20,7 +20,7 @@
   state: MembershipState | undefined;
   paused: boolean;
   cut: boolean;
-  /** Events that wait for the process to be resumed. */
+  /** Events queued until the process is resumed. */
   waiting: MembershipEvent[];
 }
 
@@ -34,12 +34,12 @@
   readonly nodes: readonly Node[];
   readonly random: Random;
   readonly seeds: number;
-  /** Highest incarnation that each daemon has given itself. */
+  /** Highest incarnation that each daemon has assigned itself. */
   readonly incarnations: Map<DaemonId, number>;
   flying: Flying[];
   /** Pairs of daemons, `from>to`, between which messages are lost. */
   readonly blocked: Set<string>;
-  /** Sees each message that a daemon sends. */
+  /** Called with each message that a daemon sends. */
   onSend: (from: DaemonId, message: Message) => void;
   now: MonoTime;
   published: number;
@@ -48,12 +48,12 @@
 const NODES = 5;
 
 const TICK_MS = 200;
-const BIRTH = brandAs<EpochTime>(1_800_000_000_000);
+const START_EPOCH = brandAs<EpochTime>(1_800_000_000_000);
 const ENTRY_TTL_MS = 3_600_000;
 const SETTLE_TICKS = 400;
 const KEYS = 3;
 
-/** `seeds`: nodes whose addresses all know from the start. */
+/** Starts `count` nodes; all know the addresses of the first `seeds` nodes from the start. */
 export function createWorld(seed: number, count = NODES, seeds = count): MembershipWorld {
   const nodes = Array.from({ length: count }, (_, i): Node => ({
     id: brandAs<DaemonId>(`daemon-${i}`),
@@ -86,15 +86,15 @@
 
 function nodeAt(world: MembershipWorld, index: number): Node {
   const node = world.nodes[index % world.nodes.length];
-  if (!node) throw new RangeError(`no node ${index}`);
+  if (!node) throw new RangeError(`node ${index} does not exist`);
   return node;
 }
 
 function epochOf(world: MembershipWorld): EpochTime {
-  return later(BIRTH, world.now);
+  return later(START_EPOCH, world.now);
 }
 
-/** Versions of entries and members never fall on a daemon, in one life of its process. */
+/** Checks that versions of entries and members never decrease on a daemon while its process runs. */
 function checkForward(
   world: MembershipWorld,
   before: MembershipState,
@@ -102,14 +102,20 @@
 ): void {
   for (const [key, entry] of before.entries) {
     const held = after.entries.get(key)?.version ?? Infinity;
-    check(held >= entry.version, `${after.self.id} fell back on ${key}`);
+    check(held >= entry.version, `${after.self.id} decreased the version of ${key}`);
   }
   for (const [id, member] of after.members) {
     const highest = world.incarnations.get(id) ?? 0;
-    check(member.incarnation <= highest, `${after.self.id} made up an incarnation of ${id}`);
+    check(
+      member.incarnation <= highest,
+      `${after.self.id} has an incarnation of ${id} that it never assigned`,
+    );
     const old = before.members.get(id);
     const revived = old?.state === 'dead' && member.state !== 'dead';
-    check(!revived || member.incarnation > old.incarnation, `${id} rose from the dead`);
+    check(
+      !revived || member.incarnation > old.incarnation,
+      `${id} is no longer dead without a higher incarnation`,
+    );
   }
 }
 
@@ -180,7 +186,7 @@
 export function resume(world: MembershipWorld, index: number): void {
   const node = nodeAt(world, index);
   node.paused = false;
-  // A process that wakes up runs its timers before it reads its sockets.
+  // A resumed process runs its timers before it reads its sockets.
   dispatch(world, node, { kind: 'tick' });
   for (const event of node.waiting.splice(0)) dispatch(world, node, event);
 }
@@ -208,7 +214,7 @@
   dispatch(world, node, event);
 }
 
-/** Lets time pass; each message is lost with probability `loss`, or held up for a tick. */
+/** Advances time; each message is lost or delayed by a tick, each with probability `loss`. */
 export function run(world: MembershipWorld, ticks: number, loss: number): void {
   for (let i = 0; i < ticks; i += 1) {
     world.now = later(world.now, TICK_MS);
@@ -217,7 +223,7 @@
   }
 }
 
-/** Messages of one tick and the answers to them, in any order. */
+/** Delivers the messages of one tick and the responses to them, in random order. */
 function deliverSome(world: MembershipWorld, loss: number): void {
   const held: Flying[] = [];
   while (world.flying.length > 0) {
@@ -247,7 +253,7 @@
     .join();
 }
 
-/** Ends all faults; then all daemons must come to the same view, which is the true one. */
+/** Ends all faults and checks that all daemons converge to the correct view. */
 export function checkConverges(world: MembershipWorld): void {
   world.nodes.forEach((node, i) => {
     node.cut = false;
@@ -255,13 +261,16 @@
   });
   run(world, SETTLE_TICKS, 0);
   const live = world.nodes.flatMap(({ state }) => state ?? []);
-  const truth = live
+  const expected = live
     .map(({ self }) => `${self.id} ${self.state}`)
     .sort()
     .join();
   for (const state of live) {
-    check(viewOf(state) === truth, `${state.self.id} sees ${viewOf(state)}, not ${truth}`);
+    check(viewOf(state) === expected, `${state.self.id} sees ${viewOf(state)}, not ${expected}`);
     const first = live[0] ?? state;
-    check(entriesOf(state) === entriesOf(first), `${state.self.id} lacks entries`);
+    check(
+      entriesOf(state) === entriesOf(first),
+      `${state.self.id} has other entries than the first daemon`,
+    );
   }
 }
--- a/tests/fuzz/membership.ts
+++ b/tests/fuzz/membership.ts
@@ -1,4 +1,4 @@
-/** Stateful fuzzing of membership and gossip; what must hold is in `membership-world.ts`. */
+/** Stateful fuzzing of membership and gossip; the invariants are in `membership-world.ts`. */
 
 import fc from 'fast-check';
 
@@ -20,7 +20,7 @@
 type MembershipCommand = fc.Command<object, MembershipWorld>;
 
 const MAX_COMMANDS = 30;
-const LOSSES = [0, 0, 0.1, 0.3, 0.9];
+const LOSS_RATES = [0, 0, 0.1, 0.3, 0.9];
 
 function command(name: string, act: (world: MembershipWorld) => void): MembershipCommand {
   return {
@@ -34,8 +34,8 @@
 
 const node = fc.nat({ max: 4 });
 
-const pass = fc
-  .tuple(fc.integer({ min: 1, max: 40 }), fc.constantFrom(...LOSSES))
+const advance = fc
+  .tuple(fc.integer({ min: 1, max: 40 }), fc.constantFrom(...LOSS_RATES))
   .map(([ticks, loss]) =>
     command(`run(${ticks}, ${loss})`, (world) => {
       run(world, ticks, loss);
@@ -54,9 +54,9 @@
 }
 
 const commands: fc.Arbitrary<MembershipCommand>[] = [
-  pass,
-  pass,
-  pass,
+  advance,
+  advance,
+  advance,
   onNode('start', start),
   onNode('kill', kill),
   onNode('pause', pause),
@@ -71,7 +71,7 @@
   }),
 ];
 
-/** Throws with the seed and the shrunk list of steps if anything that must hold does not. */
+/** Throws with the seed and the shrunk list of steps if an invariant is violated. */
 export function fuzzMembership({ seed, runs }: FuzzOptions): void {
   const history = fc.commands(commands, { maxCommands: MAX_COMMANDS, size: 'max' });
   const property = fc.property(fc.nat(), history, (chance, steps) => {
--- a/tests/fuzz/options.ts
+++ b/tests/fuzz/options.ts
@@ -1,7 +1,7 @@
-/** How a fuzz run is asked for. */
+/** Options of a fuzz run. */
 export interface FuzzOptions {
   readonly seed: number;
   readonly runs: number;
-  /** Told the number of histories that have passed, by properties that play one after the other. */
+  /** Called with the number of passed histories, by properties that run histories in sequence. */
   readonly onRun?: (passed: number) => void;
 }
