--- a/src/core/gateway/forming/need.ts
+++ b/src/core/gateway/forming/need.ts
@@ -27,7 +27,7 @@
 
 /**
  * Offered load of a model. Without groups only its waiting requests are visible, and most of those
- * give up, so it is assumed to have at least its published share of the total load.
+ * leave unserved, so it is assumed to have at least its published share of the total load.
  */
 function offeredLoadOf({ view }: Draft, model: ModelSpec, groups: number): number {
   const { offeredLoad, engine } = view;
--- a/src/core/gateway/forming/rebalance.ts
+++ b/src/core/gateway/forming/rebalance.ts
@@ -61,7 +61,7 @@
   readonly model: ModelSpec;
   /** Whether weights may be loaded for it. */
   readonly mayLoad: boolean;
-  /** Number of groups that each other model can give up. */
+  /** Number of groups that each other model can release. */
   readonly spare: ReadonlyMap<ModelId, number>;
 }
 
@@ -125,7 +125,7 @@
     .sort((a, b) => a.groups.length - b.groups.length || compareText(a.domain, b.domain))[0];
 }
 
-/** Groups that a model can give up while its load per group stays below `limit`; one always remains. */
+/** Groups that a model can release while its load per group stays below `limit`; one always remains. */
 function countSpare({ work, groups }: ModelNeed, limit: number): number {
   const needed = Math.max(1, Math.ceil(work / limit));
   return Math.max(0, groups - needed);
--- a/src/core/gateway/limits/share.ts
+++ b/src/core/gateway/limits/share.ts
@@ -95,13 +95,13 @@
 }
 
 /**
- * Registered daemons that haven't been heard from. Empty unless a majority of the registered daemons has been
- * heard: otherwise it may be this daemon that is partitioned, while the others continue without it.
+ * Registered daemons from which nothing was received. Empty unless a majority of the registered daemons is
+ * responsive: otherwise it may be this daemon that is partitioned, while the others continue without it.
  */
 export function listUnresponsive(
   registered: readonly DaemonId[],
-  heard: ReadonlySet<DaemonId>,
+  responsive: ReadonlySet<DaemonId>,
 ): readonly DaemonId[] {
-  const silent = registered.filter((id) => !heard.has(id));
+  const silent = registered.filter((id) => !responsive.has(id));
   return 2 * silent.length < registered.length ? silent : [];
 }
--- a/src/core/gateway/link-health.ts
+++ b/src/core/gateway/link-health.ts
@@ -3,9 +3,9 @@
  *
  * Load pattern: daemons send each other their state several times a second, over connections that may stop
  * delivering without an error while new ones work. Bytes written to such a link wait in buffers for minutes,
- * and the peer, no longer heard, counts as removed: its requests aren't counted, and a leader that isn't
- * heard isn't followed. A peer that has been heard from before and is silent for half of the settling time,
- * in which daemons must have recovered, is therefore contacted over a new link.
+ * and the peer, whose messages no longer arrive, counts as removed: its requests aren't counted, and a leader
+ * whose messages don't arrive isn't followed. A peer that has sent messages before and is silent for half of
+ * the settling time, in which daemons must have recovered, is therefore contacted over a new link.
  */
 
 import { later } from '../ids';
@@ -34,16 +34,16 @@
 /**
  * Whether the peer has been silent for too long.
  *
- * @param heardAt When the peer was last heard from over any link. If never, it isn't known to respond at all
- * and doesn't count as unresponsive.
+ * @param receivedAt When the last message of the peer was received, over any link. If never, it isn't known to
+ * respond at all and doesn't count as unresponsive.
  */
 export function isLinkUnresponsive(
   { since }: LinkActivity,
-  heardAt: MonoTime | undefined,
+  receivedAt: MonoTime | undefined,
   now: MonoTime,
   settleMs: number,
 ): boolean {
-  if (heardAt === undefined) return false;
-  const latest = heardAt > since ? heardAt : since;
+  if (receivedAt === undefined) return false;
+  const latest = receivedAt > since ? receivedAt : since;
   return now >= later(latest, settleMs * UNRESPONSIVE_SHARE);
 }
--- a/src/core/gateway/relays.ts
+++ b/src/core/gateway/relays.ts
@@ -6,8 +6,8 @@
  * processor long before those of the others: it is then late in planning groups and renewing its lease. With
  * relays each daemon sends to about the square root of the fleet.
  *
- * A relay is a daemon that was heard from very recently; one that becomes silent is replaced with the next
- * message. Daemons that weren't heard from recently are sent to directly, so that only the failure of a relay
+ * A relay is a daemon from which a report was received very recently; one that becomes silent is replaced with
+ * the next message. Daemons without a recent report are sent to directly, so that only the failure of a relay
  * can separate the leader from a live daemon.
  */
 
@@ -25,15 +25,15 @@
   readonly isStopping: boolean;
   /** Whether it receives the leader's messages. */
   readonly hearsLeader: boolean;
-  /** When it was last heard from. */
+  /** When its last report was received. */
   readonly at: MonoTime;
 }
 
 /** Times after which peers are no longer used as relays or reached through one. */
 export interface RelayOptions {
-  /** A relay must have been heard from within this time, milliseconds: three reports of a daemon to its leader. */
+  /** A relay must have reported within this time, milliseconds: three reports of a daemon to its leader. */
   readonly relayFreshMs: number;
-  /** A peer not heard from for this long may be unreachable for its relay and is sent to directly; milliseconds. */
+  /** A peer without a report for this long may be unreachable for its relay and is sent to directly; milliseconds. */
   readonly peerFreshMs: number;
 }
 
--- a/src/core/groups/watch.ts
+++ b/src/core/groups/watch.ts
@@ -139,7 +139,7 @@
   return omit(omit(state, 'distrustedAt'), 'warning');
 }
 
-/** Lets peers' statements count again once all members were probed anew. */
+/** Lets peers' statements count again once all members were probed again. */
 function restoreTrust(state: WatchState): WatchState {
   return state.distrustedAt !== undefined && ownRoutableUntil(state) !== undefined
     ? clearDistrust(state)
--- a/src/core/ledger/claim-types.ts
+++ b/src/core/ledger/claim-types.ts
@@ -38,7 +38,7 @@
   readonly phase: ClaimPhase;
   /** Row version on which the next write is conditional; 0 if there is no row. */
   readonly version: number;
-  /** False once the holder was told that it does not have the claim (`not-held`). */
+  /** False once the holder has received `not-held`: it does not have the claim. */
   readonly isWanted: boolean;
   /** Failed tries of the current step. */
   readonly tries: number;
--- a/src/core/ledger/claim.ts
+++ b/src/core/ledger/claim.ts
@@ -92,14 +92,14 @@
   return state.isWanted ? [{ kind: 'not-held', reason }] : [];
 }
 
-/** Gives up before the claim is held; reads the row first, as an insert may still take effect. */
+/** Aborts before the claim is held; reads the row first, as an insert may still take effect. */
 function abandon(state: ClaimState, reason: NotHeldReason): ClaimStep {
   const { effects } = read(state, 'checking');
   return next({ ...markUnwanted(state), phase: 'checking' }, ...notHeld(state, reason), ...effects);
 }
 
-/** Gives up while an insert or a read is in progress; its result decides the next step. */
-function giveUpWhilePending(state: ClaimState): ClaimStep {
+/** Aborts while an insert or a read is in progress; its result decides the next step. */
+function abortWhilePending(state: ClaimState): ClaimStep {
   return next(markUnwanted(state), ...notHeld(state, 'late'));
 }
 
@@ -205,8 +205,8 @@
   refused: byPhase({ sent: (state) => next<ClaimState, ClaimEffect>({ ...state, phase: 'held' }) }),
 
   'give-up': byPhase({
-    taking: giveUpWhilePending,
-    reading: giveUpWhilePending,
+    taking: abortWhilePending,
+    reading: abortWhilePending,
     held: (state) => close(state, releasedRow(state.terms)),
     sent: (state) => close(state, { ...fieldsOf(state.terms), state: 'unknown' }),
   }),
--- a/src/core/ledger/rows.ts
+++ b/src/core/ledger/rows.ts
@@ -54,7 +54,7 @@
 
 /**
  * The holder sent nothing and never will. This is a row rather than a deletion, so that an insert
- * still in flight when its holder gives up conflicts with it and can no longer take effect.
+ * still in flight when its holder releases the claim conflicts with it and can no longer take effect.
  */
 export interface ReleasedRow extends RowFields {
   readonly state: 'released';
--- a/src/core/routing/stragglers.ts
+++ b/src/core/routing/stragglers.ts
@@ -156,7 +156,7 @@
   const lengthMs = Math.min(opts.maxEjectionMs, opts.ejectionMs * 2 ** group.ejections);
   group.ejectedUntil = later(now, lengthMs);
   group.ejections += 1;
-  // Measured anew once it is readmitted.
+  // Measured from scratch once it is readmitted.
   Object.assign(group.firstTokenMs, createAverage());
   Object.assign(group.interTokenMs, createAverage());
 }
