--- a/src/app/control/view.ts
+++ b/src/app/control/view.ts
@@ -10,7 +10,7 @@
 import { later } from '../../core/ids';
 import type { GroupView } from '../parts';
 import type { ControlContext } from './context';
-import type { OnDemandProbes } from './demand';
+import type { OnDemandProbes } from './on-demand-probes';
 import { createLosses } from './losses';
 import { selectRoutable } from './watches';
 import type { WatchChange, Watches } from './watches';
