--- a/src/app/gateway/gateway.ts
+++ b/src/app/gateway/gateway.ts
@@ -97,7 +97,7 @@
   const waitQueue = createWaitQueue(ctx, groupRegistry);
   const arrivals = createArrivals(ctx);
   const planner = createGroupPlanner(ctx, {
-    roster: serverRegistry,
+    serverRegistry,
     routes,
     leadership,
     servers: options.servers,
@@ -119,21 +119,21 @@
     notices.apply(head);
   });
   const plain = createPlainCalls({
-    ...{ ctx, roster: serverRegistry, upstream, dialect, retries, notices, throttle },
+    ...{ ctx, serverRegistry, upstream, dialect, retries, notices, throttle },
   });
   const streams = createStreamCalls({
-    ...{ ctx, board: groupRegistry, upstream, dialect, retries, notices, throttle },
-    ...{ waiting: waitQueue, arrivals, daemons: countSharingDaemons },
+    ...{ ctx, groupRegistry, upstream, dialect, retries, notices, throttle },
+    ...{ waitQueue, arrivals, daemons: countSharingDaemons },
   });
   const gossip = createGossip({
     ctx,
     config,
-    roster: serverRegistry,
-    board: groupRegistry,
+    serverRegistry,
+    groupRegistry,
     fleet,
     planner,
     leadership,
-    waiting: waitQueue,
+    waitQueue,
     arrivals,
     limits: rateLimits,
     leaving: leavingServers,
--- a/src/app/gateway/gossip.ts
+++ b/src/app/gateway/gossip.ts
@@ -24,12 +24,12 @@
 export interface GossipDeps {
   readonly ctx: GatewayContext;
   readonly config: ConfigView;
-  readonly roster: ServerRegistry;
-  readonly board: GroupRegistry;
+  readonly serverRegistry: ServerRegistry;
+  readonly groupRegistry: GroupRegistry;
   readonly fleet: Fleet;
   readonly planner: GroupPlanner;
   readonly leadership: Leadership;
-  readonly waiting: WaitQueue;
+  readonly waitQueue: WaitQueue;
   readonly arrivals: Arrivals;
   readonly limits: RateLimits;
   readonly leaving: LeavingServers;
@@ -78,12 +78,12 @@
   const {
     ctx,
     config,
-    roster: serverRegistry,
-    board: groupRegistry,
+    serverRegistry,
+    groupRegistry,
     fleet,
     planner,
     leadership,
-    waiting: waitQueue,
+    waitQueue,
     arrivals,
     limits: rateLimits,
     leaving: leavingServers,
@@ -102,7 +102,7 @@
   const workLog = createWorkLog(ctx, groupRegistry, serverRegistry.servers);
   const stallReporting = createStallReporting({
     ctx,
-    board: groupRegistry,
+    groupRegistry,
     fleet,
     planner,
     leadership,
--- a/src/app/gateway/group-planner.ts
+++ b/src/app/gateway/group-planner.ts
@@ -65,7 +65,7 @@
 const MAX_PLAN_SHARE = 0.2;
 
 export interface GroupPlannerOptions {
-  readonly roster: ServerRegistry;
+  readonly serverRegistry: ServerRegistry;
   readonly routes: () => RouteTable | undefined;
   readonly leadership: Leadership;
   readonly servers: Servers;
@@ -80,7 +80,7 @@
   options: GroupPlannerOptions,
 ): GroupPlanner {
   const { clock, logger } = ctx;
-  const { roster: serverRegistry, routes, leadership, servers, isBusy } = options;
+  const { serverRegistry, routes, leadership, servers, isBusy } = options;
   let term: FencingNumber | undefined;
   let states = new Map<ServiceId, FormingState>();
   let hasTraffic = false;
--- a/src/app/gateway/plain-call.ts
+++ b/src/app/gateway/plain-call.ts
@@ -31,7 +31,7 @@
 
 export interface PlainDeps {
   readonly ctx: GatewayContext;
-  readonly roster: ServerRegistry;
+  readonly serverRegistry: ServerRegistry;
   readonly upstream: Upstream;
   readonly dialect: HeaderDialect;
   readonly retries: Retries;
@@ -78,7 +78,7 @@
 const NO_CAPACITY = 'all servers of the service are rate-limited or backing off';
 
 export function createPlainCalls(deps: PlainDeps): PlainCalls {
-  const { ctx, roster: serverRegistry, retries, throttle } = deps;
+  const { ctx, serverRegistry, retries, throttle } = deps;
   const records = new Map<InstanceId, ServerRecord>();
 
   const recordOf = (id: InstanceId): ServerRecord => {
--- a/src/app/gateway/stall-reporting.ts
+++ b/src/app/gateway/stall-reporting.ts
@@ -17,7 +17,7 @@
 
 export interface StallReportingDeps {
   readonly ctx: GatewayContext;
-  readonly board: GroupRegistry;
+  readonly groupRegistry: GroupRegistry;
   readonly fleet: Fleet;
   readonly planner: GroupPlanner;
   readonly leadership: Leadership;
@@ -41,7 +41,7 @@
 
 export function createStallReporting({
   ctx,
-  board: groupRegistry,
+  groupRegistry,
   fleet,
   planner,
   leadership,
--- a/src/app/gateway/stream-call.ts
+++ b/src/app/gateway/stream-call.ts
@@ -51,7 +51,7 @@
 }
 
 export function createStreamCalls(deps: StreamDeps): StreamCalls {
-  const { ctx, board: groupRegistry, retries } = deps;
+  const { ctx, groupRegistry, retries } = deps;
   const times = createRouteTimes();
 
   /** When the request needs a slot to be on time; for a stream that has begun, any wait is late. */
@@ -97,7 +97,7 @@
     const since = ctx.clock.now();
     const until = waitUntil(exchange, model, state);
     if (later(since, groupRegistry.msUntilToken(exchange.service, model)) > until) return undefined;
-    const group = await deps.waiting.wait({
+    const group = await deps.waitQueue.wait({
       model,
       priority: exchange.priority,
       until,
@@ -210,7 +210,7 @@
 }
 
 function endFailedStream(
-  { ctx, board: groupRegistry }: StreamDeps,
+  { ctx, groupRegistry }: StreamDeps,
   exchange: Exchange,
   state: StreamState,
 ): void {
@@ -252,7 +252,7 @@
   group: ServingGroup,
   state: StreamState,
 ): Promise<AttemptResult> {
-  const { ctx, board: groupRegistry, upstream, dialect, throttle } = deps;
+  const { ctx, groupRegistry, upstream, dialect, throttle } = deps;
   const { head } = group;
   const stop = new AbortController();
   const now = ctx.clock.now();
@@ -321,7 +321,7 @@
 }
 
 function releaseSlot(
-  { ctx, board: groupRegistry, times }: StreamDeps & { readonly times: RouteTimes },
+  { ctx, groupRegistry, times }: StreamDeps & { readonly times: RouteTimes },
   { route, facts }: Exchange,
   head: InstanceId,
   { sentAt, prefilledAt }: Slot,
--- a/src/app/gateway/stream-relay.ts
+++ b/src/app/gateway/stream-relay.ts
@@ -12,7 +12,7 @@
 
 export interface RelayDeps {
   readonly ctx: GatewayContext;
-  readonly board: GroupRegistry;
+  readonly groupRegistry: GroupRegistry;
   readonly dialect: HeaderDialect;
   readonly notices: ServerNotices;
 }
@@ -81,7 +81,7 @@
   if (facts.isNotExecuted) {
     res.resume();
     state.reason = `server reports the request as not executed (status ${status})`;
-    deps.board.suspect(group.id, 'rejecting', state.reason);
+    deps.groupRegistry.suspect(group.id, 'rejecting', state.reason);
     return 'not-run';
   }
   if (status >= 300) return forwardError(deps, exchange, state, answered, facts);
@@ -122,7 +122,7 @@
 /** Forwards events until the end; resolves with a reason if the stream is incomplete. */
 function forwardEvents(relayedAnswer: RelayedAnswer): Promise<string | undefined> {
   const { deps, exchange, group, state, stop, slot } = relayedAnswer;
-  const { ctx, board: groupRegistry, dialect } = deps;
+  const { ctx, groupRegistry, dialect } = deps;
   const head = group.head.id;
   const { res: upstreamRes, hasFailed } = relayedAnswer.answered;
   const { res } = exchange;
--- a/src/app/gateway/take-slot.ts
+++ b/src/app/gateway/take-slot.ts
@@ -9,8 +9,8 @@
 
 export interface SlotDeps {
   readonly ctx: GatewayContext;
-  readonly board: GroupRegistry;
-  readonly waiting: WaitQueue;
+  readonly groupRegistry: GroupRegistry;
+  readonly waitQueue: WaitQueue;
   readonly arrivals: Arrivals;
   /** Daemons that may choose at the same time, this one included. */
   readonly daemons: () => number;
@@ -37,7 +37,7 @@
   deps: SlotDeps,
   { promptTokens, slackMs, isLate, ...needs }: SlotRequest,
 ): ServingGroup | undefined {
-  const { ctx, board: groupRegistry, waiting: waitQueue, arrivals, daemons } = deps;
+  const { ctx, groupRegistry, waitQueue, arrivals, daemons } = deps;
   const { model } = needs;
   const local = { waiting: waitQueue.count(model), perSecond: arrivals.rate(model) };
   const admission = groupRegistry.admit(model, groupRegistry.candidates(needs), {
--- a/tests/gateway/fleet-model.ts
+++ b/tests/gateway/fleet-model.ts
@@ -73,7 +73,7 @@
 }
 
 interface ModelDaemon {
-  readonly board: GroupRegistry;
+  readonly groupRegistry: GroupRegistry;
   readonly waiting: WaitQueue;
   readonly arrivals: Arrivals;
   readonly takeSlot: (request: ModelRequest) => ServingGroup | undefined;
@@ -156,16 +156,16 @@
     const settings = { zone: brandAs<ZoneId>('a') };
     const ctx = makeContext({ clock, settings, seed: seed * 1_000 + n });
     const table = new BehaviorSubject<RouteTable | undefined>(TABLE);
-    const board = createGroupRegistry(ctx, serverRegistry, table, makeThrottle(ctx));
-    const waiting = createWaitQueue(ctx, board);
+    const groupRegistry = createGroupRegistry(ctx, serverRegistry, table, makeThrottle(ctx));
+    const waiting = createWaitQueue(ctx, groupRegistry);
     const arrivals = createArrivals(ctx);
     const daemon: ModelDaemon = {
-      board,
+      groupRegistry,
       waiting,
       arrivals,
       takeSlot: ({ tried, arrivedAt }) =>
         takeSlot(
-          { ctx, board, waiting, arrivals, daemons: () => size },
+          { ctx, groupRegistry, waitQueue: waiting, arrivals, daemons: () => size },
           {
             ...{ service: SERVICE, model: SMALL, promptTokens: PROMPT_TOKENS },
             ...{ maxPauseMs: MAX_PAUSE_MS, tried, slackMs: slackMs() },
@@ -174,7 +174,7 @@
         ),
       lastState: undefined,
     };
-    board.stalls.subscribe(({ head }) => {
+    groupRegistry.stalls.subscribe(({ head }) => {
       const group = groups.find((one) => one.head.id === head);
       if (group) drop(group, ({ request }) => request.daemon === daemon);
     });
@@ -186,9 +186,9 @@
   };
 
   const release = ({ head }: ModelGroup, { request, events, sentAt }: Stream): void => {
-    const { board } = request.daemon;
-    if (events === 0) board.noteEnded(head.id, PROMPT_TOKENS);
-    else board.noteEnded(head.id, 0, now() - sentAt);
+    const { groupRegistry } = request.daemon;
+    if (events === 0) groupRegistry.noteEnded(head.id, PROMPT_TOKENS);
+    else groupRegistry.noteEnded(head.id, 0, now() - sentAt);
   };
 
   /** Streams that are lost or moved are retried at another group if they have attempts left. */
@@ -211,7 +211,7 @@
     };
     if (group) group.streams.push(stream);
     else {
-      request.daemon.board.noteEnded(head.id, PROMPT_TOKENS);
+      request.daemon.groupRegistry.noteEnded(head.id, PROMPT_TOKENS);
       end(request, 'failed');
     }
   };
@@ -257,18 +257,18 @@
 
   const advance = (group: ModelGroup, stream: Stream): boolean => {
     const { request } = stream;
-    const { board } = request.daemon;
+    const { groupRegistry } = request.daemon;
     if (stream.nextEventAt === undefined) {
       group.prefillUntil = Math.max(group.prefillUntil, now()) + PREFILL_MS;
       stream.nextEventAt = group.prefillUntil + FULL_PAUSE_MS;
     }
     if (now() < stream.nextEventAt) return true;
     if (stream.events === 0) {
-      board.notePrefilled(group.head.id, PROMPT_TOKENS);
+      groupRegistry.notePrefilled(group.head.id, PROMPT_TOKENS);
       firstEvents = noteFirstEvent(firstEvents, now() - stream.sentAt);
       request.firstEventAt ??= now();
     }
-    board.noteEvent(
+    groupRegistry.noteEvent(
       group.head.id,
       stream.lastEventAt === undefined ? undefined : now() - stream.lastEventAt,
     );
@@ -297,9 +297,9 @@
     for (const stream of [...abandoned, ...ended]) release(group, stream);
   };
 
-  const stateOf = ({ board, waiting, arrivals }: ModelDaemon): PeerState =>
+  const stateOf = ({ groupRegistry, waiting, arrivals }: ModelDaemon): PeerState =>
     makeState({
-      running: board.running().map((entry) => [...entry]),
+      running: groupRegistry.running().map((entry) => [...entry]),
       waiting: [[SMALL, waiting.count(SMALL), arrivals.rate(SMALL)]],
     });
 
@@ -307,8 +307,12 @@
     if (now() < nextReportAt) return;
     nextReportAt = now() + REPORT_MS;
     if (!hasLeader) {
-      for (const { board } of daemons) {
-        board.applyLoads(sumLoads([]), { ...LOAD_FACTS, coversMost: false, isLeaderless: true });
+      for (const { groupRegistry } of daemons) {
+        groupRegistry.applyLoads(sumLoads([]), {
+          ...LOAD_FACTS,
+          coversMost: false,
+          isLeaderless: true,
+        });
       }
       return;
     }
@@ -317,7 +321,7 @@
     setTimeout(() => {
       daemons.forEach((daemon, n) => {
         const own = states[n];
-        daemon.board.applyLoads(own ? withoutOwn(sums, own) : sums, LOAD_FACTS);
+        daemon.groupRegistry.applyLoads(own ? withoutOwn(sums, own) : sums, LOAD_FACTS);
       });
     }, PROPAGATION_MS);
   };
@@ -345,7 +349,7 @@
       vi.advanceTimersByTime(STEP_MS);
       arrive();
       for (const group of groups) serve(group);
-      for (const { board } of daemons) board.tick();
+      for (const { groupRegistry } of daemons) groupRegistry.tick();
       report();
     }
   };
--- a/tests/gateway/group-registry.test.ts
+++ b/tests/gateway/group-registry.test.ts
@@ -58,7 +58,7 @@
   };
   const stalls: InstanceId[] = [];
   registry.stalls.subscribe(({ head }) => stalls.push(head));
-  return { board: registry, changes, routes, heads, run, stand: pauseProcess, stalls };
+  return { registry, changes, routes, heads, run, stand: pauseProcess, stalls };
 }
 
 /** Like `setUp`, with routes and loads known, so that the group can be used. */
@@ -66,7 +66,7 @@
   const parts = setUp();
   parts.routes.next(TABLE);
   parts.changes.next();
-  parts.board.applyLoads({ running: [], paces: [], waiting: [] }, FRESH_LOADS);
+  parts.registry.applyLoads({ running: [], paces: [], waiting: [] }, FRESH_LOADS);
   parts.run(100);
   return parts;
 }
@@ -88,7 +88,7 @@
 
 describe('a group with silent streams', () => {
   it('is reported as stalled once the silence exceeds the expected pauses', () => {
-    const { board: registry, run, stalls } = setUpServing();
+    const { registry, run, stalls } = setUpServing();
     registry.noteSent(HEAD, 100);
     registry.notePrefilled(HEAD, 100);
     registry.noteEvent(HEAD, undefined);
@@ -99,7 +99,7 @@
   });
 
   it('is not reported while unread events may be pending after a pause of the process', () => {
-    const { board: registry, run, stand: pauseProcess, stalls } = setUpServing();
+    const { registry, run, stand: pauseProcess, stalls } = setUpServing();
     registry.noteSent(HEAD, 100);
     registry.notePrefilled(HEAD, 100);
     registry.noteEvent(HEAD, undefined);
@@ -111,7 +111,7 @@
   });
 
   it('gets more time for its first event while the loads of other daemons are unknown', () => {
-    const { board: registry, routes, changes, run, stalls } = setUp();
+    const { registry, routes, changes, run, stalls } = setUp();
     routes.next(TABLE);
     changes.next();
     run(100);
@@ -125,7 +125,7 @@
 
 describe('a slow group', () => {
   it("is known from other daemons' measurements, for as long as they report it", () => {
-    const { board: registry } = setUpServing();
+    const { registry } = setUpServing();
     const slowdown = () => registry.candidates(NEEDS)[0]?.slowdown;
     registry.applyLoads({ running: [], paces: [[HEAD, 3.5]], waiting: [] }, FRESH_LOADS);
     expect(slowdown()).toBe(3.5);
@@ -134,7 +134,7 @@
   });
 
   it('is reported by a daemon that measured its events', () => {
-    const { board: registry, run } = setUpServing();
+    const { registry, run } = setUpServing();
     registry.noteSent(HEAD, 100);
     registry.notePrefilled(HEAD, 100);
     registry.noteEvent(HEAD, undefined);
--- a/tests/gateway/large-fleet.test.ts
+++ b/tests/gateway/large-fleet.test.ts
@@ -43,13 +43,13 @@
       table: new BehaviorSubject({ config: { version: 3 } }),
       watch: { ageMs: () => 0 },
     },
-    roster: {
+    serverRegistry: {
       changedAt: () => position(10),
       servers: new Map(),
       news: new Subject(),
       watch: { isFailing: () => false, ageMs: () => 0 },
     },
-    board: {
+    groupRegistry: {
       running: () => [],
       paces: () => [],
       quiet: () => [],
@@ -85,7 +85,7 @@
       heldFencing: () => (isLeading ? 1 : undefined),
       notePeerLease: () => undefined,
     },
-    waiting: { waiting: () => [], count: () => 0 },
+    waitQueue: { waiting: () => [], count: () => 0 },
     arrivals: { rates: () => [], rate: () => 0 },
     limits: { report: () => [], reportToAll: () => [], applyReport: () => undefined },
     leaving: { report: () => [], applyReport: () => undefined },
--- a/tests/gateway/leaving.test.ts
+++ b/tests/gateway/leaving.test.ts
@@ -37,7 +37,7 @@
   let changed = 0;
   serverRegistry.changes.subscribe(() => (changed += 1));
   return {
-    roster: serverRegistry,
+    serverRegistry,
     leaving: createLeavingServers(ctx, serverRegistry),
     changes: () => changed,
   };
@@ -45,7 +45,7 @@
 
 describe('a server that announces in an answer that it is leaving', () => {
   it('is draining at once, whatever its entry shows', async () => {
-    const { roster: serverRegistry, leaving: leavingServers, changes } = await setUp();
+    const { serverRegistry, leaving: leavingServers, changes } = await setUp();
     leavingServers.note(SERVER);
     expect(changes()).toBe(1);
     expect(serverRegistry.servers.get(SERVER)?.isDraining).toBe(true);
@@ -61,10 +61,10 @@
     here.leaving.note(SERVER);
     expect(here.leaving.report()).toEqual([SERVER]);
     peer.leaving.applyReport(here.leaving.report(), 'peer');
-    expect(peer.roster.servers.get(SERVER)?.isDraining).toBe(true);
+    expect(peer.serverRegistry.servers.get(SERVER)?.isDraining).toBe(true);
     expect(peer.leaving.report()).toEqual([]);
     expect(peer.leaving.report({ ofAll: true })).toEqual([SERVER]);
-    for (const { roster: serverRegistry } of [here, peer]) serverRegistry.watch.stop();
+    for (const { serverRegistry } of [here, peer]) serverRegistry.watch.stop();
   });
 
   it.each([
--- a/tests/gateway/store-return.test.ts
+++ b/tests/gateway/store-return.test.ts
@@ -197,13 +197,13 @@
         serverRegistry.tick();
       }
     };
-    return { store, roster: serverRegistry, run };
+    return { store, serverRegistry, run };
   };
   const known = (serverRegistry: ServerRegistry): BackendServer | undefined =>
     [...serverRegistry.servers.values()][0];
 
   it('that were leaving are still leaving', async () => {
-    const { store, roster: serverRegistry, run } = follow();
+    const { store, serverRegistry, run } = follow();
     store.put(NAME, server(3));
     await run(100);
     const copy = store.copy();
@@ -220,7 +220,7 @@
   });
 
   it('that are missing are kept until they have had time to register again', async () => {
-    const { store, roster: serverRegistry, run } = follow();
+    const { store, serverRegistry, run } = follow();
     const copy = store.copy();
     store.put(NAME, server(1));
     await run(100);
@@ -234,7 +234,7 @@
   });
 
   it('that were removed return only once they write again', async () => {
-    const { store, roster: serverRegistry, run } = follow();
+    const { store, serverRegistry, run } = follow();
     store.put(NAME, server(3));
     await run(100);
     const copy = store.copy();
--- a/tests/gateway/store-silence.test.ts
+++ b/tests/gateway/store-silence.test.ts
@@ -59,7 +59,7 @@
   const stop = (): void => {
     for (const watch of [config.watch, serverRegistry.watch, daemons]) watch.stop();
   };
-  return { store, config, roster: serverRegistry, stop };
+  return { store, config, serverRegistry, stop };
 }
 
 fakeTime();
@@ -71,7 +71,7 @@
   it.each(SILENCES)(
     'for %i ms does not delay its next change beyond the limit',
     async (silentMs) => {
-      const { store, config, roster: serverRegistry, stop } = followStore(silentMs);
+      const { store, config, serverRegistry, stop } = followStore(silentMs);
       await vi.advanceTimersByTimeAsync(8_000);
       store.put('config', configOf(2));
       await vi.advanceTimersByTimeAsync(500);
